--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -41,7 +41,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from thymedeck.interface import SessionCame
+from thymedeck.interface import SessionArrived
 from thymedeck.net.connection import Connection
 from thymedeck.net.ring import Ring
 from thymedeck.net.service import Service
@@ -230,7 +230,7 @@
 
         def slow(now: int, event: object) -> list:
             actions = handle(now, event)
-            if isinstance(event, SessionCame):
+            if isinstance(event, SessionArrived):
                 self.service.balancer.handle = handle
                 self.system.now_ns += int(span) * 1_000_000
             return actions
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -33,22 +33,31 @@
 
 from msgspec.structs import replace
 
-from thymedeck import interface as own
+from thymedeck import interface
 from thymedeck.net.service import Service
 from thymedeck.policy import Balancer
 
-LISTENER = own.Listener(3000, 12000, own.Effect.REPEATABLE, own.Scope.ALL, 50000, 1.0, 500)
-SITE = own.Deployment(
+LISTENER = interface.Listener(
+    3000, 12000, interface.Effect.IDEMPOTENT, interface.DedupScope.ALL, 50000, 1.0, 500
+)
+SITE = interface.Deployment(
     listeners=(LISTENER,), zone=0, replicas=3, tick=20, connect_timeout=1500, max_dials=4, may_probe=False,
-    come_back_max=0, list_on_request=False, ask_within=100000, cold_share=0.3, warm_after=88000,
-    fall_multiple=2.5, fall_window=20000, present_load=True, tells_delay=True, passes_through=False,
-    crossing_price=0.0, drain_grace=20000, promised=0.0,
+    max_retry_after=0, list_on_request=False, list_poll_within=100000, start_capacity=0.3, warm_after=88000,
+    overload_factor=2.5, overload_window=20000, reports_load=True, reports_delay=True, is_passthrough=False,
+    cross_zone_price=0.0, drain_grace=20000, quota_connections=0.0,
 )  # fmt: skip
-SHOWN = (own.Dial, own.Refuse, own.TearDown, own.Move, own.FollowList, own.Probe)
+SHOWN = (
+    interface.Dial,
+    interface.Refuse,
+    interface.TearDown,
+    interface.Move,
+    interface.RequestList,
+    interface.Probe,
+)
 
 
 def value(text: str) -> object:
-    for kind in (own.Effect, own.Scope):
+    for kind in (interface.Effect, interface.DedupScope):
         if text in kind.__members__:
             return kind[text]
     return float(text) if "." in text else int(text)
@@ -71,7 +80,7 @@
         self.path = path
         self.site = SITE
         self.balancer: Balancer | None = None
-        self.out: list[own.Action] = []
+        self.out: list[interface.Action] = []
         self.seen: list[list[str]] = []
         self.at: dict[int, int] = {}
 
@@ -92,7 +101,7 @@
     def line(self, words: list[str]) -> None:
         if words[0] == "set":
             given = {key: value(text) for key, text in (word.split("=") for word in words[1:])}
-            inner = {k: v for k, v in given.items() if k in own.Listener.__slots__}
+            inner = {k: v for k, v in given.items() if k in interface.Listener.__slots__}
             outer = {k: v for k, v in given.items() if k not in inner}
             self.site = replace(self.site, listeners=(replace(LISTENER, **inner),), **outer)
         elif words[0] == "expect":
@@ -103,43 +112,49 @@
             self.out = self.balancer.handle(int(words[0]), self.event(words[1], words[2:]))
             for action in self.out:
                 self.seen.append(self.spell(action))
-                if isinstance(action, own.Dial):
-                    self.at[action.sess] = action.server
+                if isinstance(action, interface.Dial):
+                    self.at[action.session_id] = action.server
 
-    def event(self, kind: str, words: list[str]) -> own.Event:
+    def event(self, kind: str, words: list[str]) -> interface.Event:
         if kind == "list":
-            return own.ServerList(own.ListKind[words[0]], [self.entry(word) for word in words[1:]])
+            return interface.ServerListUpdated(
+                interface.ListKind[words[0]], [self.entry(word) for word in words[1:]]
+            )
         if kind == "probed":
-            return own.Probed(int(words[0]), True, float(words[1]))
+            return interface.ProbeEnded(int(words[0]), True, float(words[1]))
         if kind == "timer":
-            return own.TimerDue(own.Timer[words[0]], int(words[1]))
+            return interface.TimerFired(interface.Timer[words[0]], int(words[1]))
         sess = int(words[0])
         options = dict(word.split("=") for word in words[1:] if "=" in word)
         if kind == "came":
             subject, hint = options.get("subject"), options.get("hint")
             budget, flow = int(options.get("budget", 12000)), "mid_flow" in words
-            return own.SessionCame(sess, 0, budget, None if hint is None else float(hint), subject, flow)
+            return interface.SessionArrived(
+                sess, 0, budget, None if hint is None else float(hint), subject, flow
+            )
         if kind == "stands":
             self.at[sess] = int(words[2])
-            return own.SessionStands(sess, 0, None, options.get("subject"), int(words[2]))
+            return interface.SessionRestored(sess, 0, None, options.get("subject"), int(words[2]))
         if kind == "left":
-            return own.SessionLeft(sess)
+            return interface.SessionLeft(sess)
         if kind == "load":
-            return own.LoadTold(sess, float(words[1]))
+            return interface.LoadReported(sess, float(words[1]))
         server = self.at[sess]
         if kind == "up":
-            return own.Established(sess, server, int(words[1]) if words[1:] else 100)
+            return interface.SessionEstablished(sess, server, int(words[1]) if words[1:] else 100)
         if kind == "delay":
-            return own.DelayTold(sess, server, int(float(words[1]) * 10))
+            return interface.DelayReported(sess, server, int(float(words[1]) * 10))
         assert kind == "ended", f"{self.path.name}: no event {kind}"
-        return own.DialEnded(sess, server, own.Outcome[words[1]], "done" in words, None)
+        return interface.DialEnded(sess, server, interface.DialOutcome[words[1]], "done" in words, None)
 
-    def entry(self, word: str) -> own.Entry:
+    def entry(self, word: str) -> interface.ServerEntry:
         index, state, *more = word.split(":")
         marks = {mark[0]: int(mark[1:]) for mark in more}
         zone, cell, started = marks.get("z", 0), marks.get("c", 0), marks.get("b", 0)
         weight, kind = marks.get("w", 1), marks.get("k", -1)
-        return own.Entry(int(index), zone, cell, own.State[state.upper()], started, weight, kind)
+        return interface.ServerEntry(
+            int(index), zone, cell, interface.ServerState[state.upper()], started, weight, kind
+        )
 
     def expect(self, words: list[str]) -> None:
         shown = [self.spell(action) for action in self.out if isinstance(action, SHOWN)]
@@ -157,7 +172,7 @@
             assert all(want in (got, "*") for want, got in zip(words, shown[0], strict=False)), where
 
     @staticmethod
-    def spell(action: own.Action) -> list[str]:
+    def spell(action: interface.Action) -> list[str]:
         name = {"Dial": "dial", "Refuse": "refuse", "TearDown": "teardown", "Move": "move"}
         kind = type(action).__name__
         numbers = [getattr(action, slot) for slot in action.__struct_fields__]
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from tests.helpers import service_for_lists
-from thymedeck import interface as own
+from thymedeck import interface
 from thymedeck.net.clients import AT_ONCE, Door
 from thymedeck.net.loop import Loop
 from thymedeck.net.serverlist import decode
@@ -35,12 +35,14 @@
 def test_one_bad_entry_spoils_neither_the_list_nor_its_server(service: Service, bad: str) -> None:
     """Guards against a list refused whole, and against a server taken to be gone for a slip in its entry."""
     before = '{"version":1,"full":true,"servers":[{"id":"known","addr":"127.0.0.1:7"}]}'
-    service.take_list(decode(before), own.ListKind.WHOLE)
+    service.take_list(decode(before), interface.ListKind.WHOLE)
     (known,) = (one for event in service.told for one in event.entries)
-    service.take_list(decode(f'{{"version":2,"full":true,"servers":[{bad},{GOOD}]}}'), own.ListKind.WHOLE)
+    service.take_list(
+        decode(f'{{"version":2,"full":true,"servers":[{bad},{GOOD}]}}'), interface.ListKind.WHOLE
+    )
     last = {one.server: one for event in service.told for one in event.entries}
-    assert last.pop(service.server_index["good"]).state is own.State.READY
-    left_out = replace(known, state=own.State.GONE)
+    assert last.pop(service.server_index["good"]).state is interface.ServerState.READY
+    left_out = replace(known, state=interface.ServerState.GONE)
     assert list(last.values()) == [known if "known" in bad else left_out]
     assert service.logged.count("bad_entry") == 1
 
@@ -49,7 +51,7 @@
 def test_a_server_whose_address_is_no_figure_is_passed_over(service: Service, address: str) -> None:
     """Guards against a look-up that stops the loop, or fails in the middle of a dial."""
     text = f'{{"version":1,"full":true,"servers":[{{"id":"a","addr":"{address}"}},{GOOD}]}}'
-    service.take_list(decode(text), own.ListKind.WHOLE)
+    service.take_list(decode(text), interface.ListKind.WHOLE)
     assert list(service.server_index) == ["good"]
     assert "bad_address" in service.logged
 
@@ -78,5 +80,5 @@
     """Guards against a list that stays lost to the decisions when it is back with nothing new."""
     listing = decode(f'{{"version":1,"full":true,"servers":[{GOOD}]}}')
     for _ in range(2):
-        service.take_list(listing, own.ListKind.WHOLE)
+        service.take_list(listing, interface.ListKind.WHOLE)
     assert [len(event.entries) for event in service.told] == [1, 0]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -17,7 +17,9 @@
         server = super().come(who, now)
         if server is not None and server >= self.case.warm:
             self.sent = [*getattr(self, "sent", ()), (now, who, server)]
-            window = [one for at, *one in self.sent if at > now - SITE.fall_window and one == [who, server]]
+            window = [
+                one for at, *one in self.sent if at > now - SITE.overload_window and one == [who, server]
+            ]
             self.most = max(self.most, len(window) - ceil(self.parts(now)[who]))
         return server
 
@@ -56,7 +58,7 @@
         fleet = Fleet(Case(30, 20, rate=120.0), seed)
         for age in range(0, SITE.warm_after, SITE.warm_after // 20):
             chances = sum(chance_for(part, 30) for part in fleet.parts(BEGIN + age))
-            expected += chances * SITE.warm_after / SITE.fall_window / 20
+            expected += chances * SITE.warm_after / SITE.overload_window / 20
         sent += fleet.play().sent
     assert abs(sent - expected) < 3 * sqrt(expected)
 
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from thymedeck import interface as own
+from thymedeck import interface
 from thymedeck.lab import checks
 from thymedeck.lab.play import EFFECTS, settings
 from thymedeck.lab.stage import SECOND, Processes, Stage, Virtual
@@ -132,14 +132,14 @@
     service = stage.services["b0"]
     warm = [at for at in range(servers) if at % 3][:HELD]
     for sess, server in enumerate(warm):
-        service.balancer.handle(service.loop.now(), own.SessionStands(sess, 0, None, None, server))
+        service.balancer.handle(service.loop.now(), interface.SessionRestored(sess, 0, None, None, server))
     return service
 
 
 def place(service: Service) -> int:
     """Lines of ten placements, none of which is the first in a window of the cold servers."""
     now = service.loop.now()
-    came = [own.SessionCame(10_000 + at, 0, DEADLINE, None, None, False) for at in range(11)]
+    came = [interface.SessionArrived(10_000 + at, 0, DEADLINE, None, None, False) for at in range(11)]
     service.balancer.handle(now, came[0])
     return lines_run(lambda: [service.balancer.handle(now, one) for one in came[1:]])
 
@@ -170,8 +170,8 @@
     balancer = service.balancer
     handle, told = balancer.handle, []
 
-    def noted(now: int, event: own.Event) -> list[own.Action]:
-        if isinstance(event, own.ServerList):
+    def noted(now: int, event: interface.Event) -> list[interface.Action]:
+        if isinstance(event, interface.ServerListUpdated):
             told.append([(one.server, one.state) for one in event.entries])
         return handle(now, event)
 
@@ -181,7 +181,7 @@
     service.listed(listing(2, states, full=True))
     assert [at for at, _ in told[0]] == list(drained)
     assert balancer.most_listed == SERVERS
-    assert {balancer.servers[at].state for at in drained} == {own.State.DRAINING}
+    assert {balancer.servers[at].state for at in drained} == {interface.ServerState.DRAINING}
     # Before the rest is told one of it drains too, and one leaves the list.
     late, gone = SERVERS - 2, SERVERS - 4
     states[late] = "DRAINING"
@@ -191,8 +191,8 @@
         before = len(told)
         service.tell_some()
         assert all(len(part) <= TOLD_AT_ONCE for part in told[before:])
-    assert balancer.servers[late].state is own.State.DRAINING
-    assert balancer.servers[gone].state is own.State.GONE
+    assert balancer.servers[late].state is interface.ServerState.DRAINING
+    assert balancer.servers[gone].state is interface.ServerState.GONE
     ready = {one.index for one in balancer.candidates.ready}
     assert ready == {at for at, state in states.items() if state == "SERVING"}
 
--- a/thymedeck/benchlink.py
+++ b/thymedeck/benchlink.py
@@ -10,27 +10,30 @@
 
 import msgspec
 
-from . import interface as own
-from . import wire
+from . import interface, wire
 from .policy import Balancer
-from .stated import LEAST_WEIGHT, deployment, down
+from .settings import MIN_WEIGHT, deployment_from, floor_ticks
 
-STATES = {"ready": own.State.READY, "draining": own.State.DRAINING, "gone": own.State.GONE}
+STATES = {
+    "ready": interface.ServerState.READY,
+    "draining": interface.ServerState.DRAINING,
+    "gone": interface.ServerState.GONE,
+}
 LIST_KINDS = {
-    "INCREMENTAL": own.ListKind.CHANGES,
-    "FULL": own.ListKind.WHOLE,
-    "SAVED": own.ListKind.SAVED,
-    "FAILED": own.ListKind.FAILED,
+    "INCREMENTAL": interface.ListKind.CHANGES,
+    "FULL": interface.ListKind.WHOLE,
+    "SAVED": interface.ListKind.SAVED,
+    "FAILED": interface.ListKind.FAILED,
 }
 OUTCOMES = {
-    "OK": own.Outcome.ENDED,
-    "INTERNAL": own.Outcome.ERROR,
-    "RESOURCE_EXHAUSTED": own.Outcome.FULL,
-    "DEADLINE_EXCEEDED": own.Outcome.OVERDUE,
-    "UNAVAILABLE": own.Outcome.UNREACHABLE,
-    "ABORTED": own.Outcome.RESET,
-    "CANCELLED": own.Outcome.CANCELLED,
-    "TOO_LATE": own.Outcome.UNSENT,
+    "OK": interface.DialOutcome.COMPLETED,
+    "INTERNAL": interface.DialOutcome.ERROR,
+    "RESOURCE_EXHAUSTED": interface.DialOutcome.REJECTED,
+    "DEADLINE_EXCEEDED": interface.DialOutcome.TIMED_OUT,
+    "UNAVAILABLE": interface.DialOutcome.UNREACHABLE,
+    "ABORTED": interface.DialOutcome.RESET,
+    "CANCELLED": interface.DialOutcome.CANCELLED,
+    "TOO_LATE": interface.DialOutcome.NOT_SENT,
 }
 
 
@@ -57,7 +60,7 @@
 
     def __init__(self, instance: int, event: wire.Provision) -> None:
         self.instance = instance
-        self.balancer = Balancer(event.rng_seed, deployment(event.env))
+        self.balancer = Balancer(event.rng_seed, deployment_from(event.env))
         fields = event.env.report.fields
         self.pressure_at = fields.index("x0") if "x0" in fields else -1
         self.server_index: dict[int, int] = {}
@@ -91,8 +94,8 @@
             return
         for action in self.balancer.handle(now_us // 100, told):
             output.append(self.spell(action))
-            if isinstance(action, own.Refuse | own.TearDown):
-                self.let_go(action.sess)
+            if isinstance(action, interface.Refuse | interface.TearDown):
+                self.let_go(action.session_id)
         if isinstance(event, wire.ClosedAttempt | wire.Hangup):
             self.let_go(self.sess_index.get(event.req, -1))
 
@@ -100,93 +103,99 @@
         if index in self.sess_ids and index not in self.balancer.sessions:
             del self.sess_index[self.sess_ids.pop(index)]
 
-    def translate(self, event: wire.AnyEvent) -> own.Event | None:
+    def translate(self, event: wire.AnyEvent) -> interface.Event | None:
         """The event in our words, or None where it is about something no longer held."""
         if isinstance(event, wire.UpdateOf):
             return self.translate_note(event)  # most events are notes
         match event:
             case wire.Accept():
-                return own.SessionCame(
-                    self.new_sess(event.req), event.type, down(event.budget_us),
+                return interface.SessionArrived(
+                    self.new_sess(event.req), event.type, floor_ticks(event.budget_us),
                     event.work_us, event.partition_key, event.mid_flow,
                 )  # fmt: skip
             case wire.AlreadyOpen():
-                return own.SessionStands(
+                return interface.SessionRestored(
                     self.new_sess(event.req), event.type, event.work_us,
                     event.partition_key, self.server(event.server),
                 )  # fmt: skip
             case wire.Wake():
                 timer, _, index = event.label.partition(":")
-                return own.TimerDue(own.Timer(int(timer)), int(index))
+                return interface.TimerFired(interface.Timer(int(timer)), int(index))
             case wire.Registry():
                 return self.translate_list(event)
             case wire.FromPeer():
                 return None
             case wire.Hangup():
                 sess = self.sess_index.get(event.req)
-                return None if sess is None else own.SessionLeft(sess)
+                return None if sess is None else interface.SessionLeft(sess)
         server = self.server_index.get(event.server)
         if server is None:
             return None
         if isinstance(event, wire.Echo):
-            return own.Probed(server, event.disposition == "OK", self.pressure(event.stats))
+            return interface.ProbeEnded(server, event.disposition == "OK", self.pressure(event.stats))
         sess = self.sess_index.get(event.req)
         if sess is None:
             return None
         match event:
             case wire.HeadReceived():
-                return own.Established(sess, server, down(event.duration_us))
+                return interface.SessionEstablished(sess, server, floor_ticks(event.duration_us))
             case wire.ClosedAttempt():
-                outcome = OUTCOMES.get(event.disposition, own.Outcome.UNKNOWN)
-                return own.DialEnded(
+                outcome = OUTCOMES.get(event.disposition, interface.DialOutcome.UNKNOWN)
+                return interface.DialEnded(
                     sess, server, outcome, event.complete, self.pressure(event.stats)
                 )  # fmt: skip
         return None
 
-    def translate_note(self, event: wire.UpdateOf) -> own.Event | None:
+    def translate_note(self, event: wire.UpdateOf) -> interface.Event | None:
         sess, server = self.sess_index.get(event.req), self.server_index.get(event.server)
         if sess is None or server is None:
             return None
         if event.what == wire.NOTE_LOAD:
-            return own.LoadTold(sess, event.amount)
-        return own.DelayTold(sess, server, int(event.amount * 10)) if event.what == wire.NOTE_DELAY else None
-
-    def translate_list(self, event: wire.Registry) -> own.ServerList | None:
+            return interface.LoadReported(sess, event.amount)
+        return (
+            interface.DelayReported(sess, server, int(event.amount * 10))
+            if event.what == wire.NOTE_DELAY
+            else None
+        )
+
+    def translate_list(self, event: wire.Registry) -> interface.ServerListUpdated | None:
         kind = LIST_KINDS.get(event.how)
         if kind is None:
             return None
-        index, states, other = self.server, STATES, own.State.DRAINING
+        index, states, other = self.server, STATES, interface.ServerState.DRAINING
         entries = [
-            own.Entry(
+            interface.ServerEntry(
                 index(one.server), one.region_part, one.group, states.get(one.readiness, other),
-                one.boot_time_us // 100, one.share if one.share > LEAST_WEIGHT else LEAST_WEIGHT,
+                one.boot_time_us // 100, one.share if one.share > MIN_WEIGHT else MIN_WEIGHT,
                 one.generation_hw,
             )
             for one in event.members
         ]  # fmt: skip
-        return own.ServerList(kind, entries, in_turn=True)  # there every call goes out by `FollowList`
+        return interface.ServerListUpdated(
+            kind, entries, is_scheduled=True
+        )  # there every call goes out by `RequestList`
 
-    def spell(self, action: own.Action) -> dict[str, Any]:
+    def spell(self, action: interface.Action) -> dict[str, Any]:
         head = {"i": self.instance}
         match action:
-            case own.Dial():
+            case interface.Dial():
                 return {
-                    "t": "ISSUE", **head, "req": self.sess_ids[action.sess],
+                    "t": "ISSUE", **head, "req": self.sess_ids[action.session_id],
                     "server": self.server_ids[action.server], "limit_us": action.limit * 100,
                 }  # fmt: skip
-            case own.SetTimer():
+            case interface.SetTimer():
                 label = f"{action.timer.value}:{action.index}"
                 return {"t": "SCHEDULE", **head, "label": label, "after_us": action.after * 100}
-            case own.Refuse():
-                refused = {"t": "TURN_AWAY", **head, "req": self.sess_ids[action.sess]}
-                return refused | {"come_back_us": action.come_back * 100} if action.come_back else refused
-            case own.TearDown():
-                return {"t": "LOSE", **head, "req": self.sess_ids[action.sess]}
-            case own.Move():
-                return {"t": "REDIRECT", **head, "req": self.sess_ids[action.sess]}
-            case own.Probe():
+            case interface.Refuse():
+                refused = {"t": "TURN_AWAY", **head, "req": self.sess_ids[action.session_id]}
+                return refused | {"come_back_us": action.retry_after * 100} if action.retry_after else refused
+            case interface.TearDown():
+                return {"t": "LOSE", **head, "req": self.sess_ids[action.session_id]}
+            case interface.Move():
+                return {"t": "REDIRECT", **head, "req": self.sess_ids[action.session_id]}
+            case interface.Probe():
                 return {"t": "PROBE", **head, "server": self.server_ids[action.server]}
-            case own.FollowList():
+            case interface.RequestList():
                 return {"t": "LISTEN", **head, "want": True}
         return {"t": "REMARK", **head, "note_text": action.text}
 
--- a/thymedeck/interface.py
+++ b/thymedeck/interface.py
@@ -10,12 +10,12 @@
 
 
 class Effect(IntEnum):
-    REPEATABLE = 0
-    REFERENCED = 1
-    ONCE_ONLY = 2
+    IDEMPOTENT = 0
+    DEDUPLICATED = 1
+    AT_MOST_ONCE = 2
 
 
-class Scope(IntEnum):
+class DedupScope(IntEnum):
     """Which servers drop the repeats of a referenced session."""
 
     ALL = 0
@@ -23,26 +23,26 @@
     CELL = 2
 
 
-class State(IntEnum):
+class ServerState(IntEnum):
     READY = 0
     DRAINING = 1
     GONE = 2
 
 
-class Outcome(IntEnum):
-    ENDED = 0  # the session was served to its end
+class DialOutcome(IntEnum):
+    COMPLETED = 0  # the session was served to its end
     ERROR = 1  # the server answered with an error
-    FULL = 2  # turned down unseen
-    OVERDUE = 3  # no reply in time
+    REJECTED = 2  # turned down unseen
+    TIMED_OUT = 3  # no reply in time
     UNREACHABLE = 4  # no connection in time
     RESET = 5  # the connection was dropped
     CANCELLED = 6
-    UNSENT = 7  # the dial never left
+    NOT_SENT = 7  # the dial never left
     UNKNOWN = 8
-    SENT_AWAY = 9  # the server asked the client to move, as it drains
+    MOVED = 9  # the server asked the client to move, as it drains
 
 
-NEVER_RAN = frozenset((Outcome.FULL, Outcome.UNREACHABLE, Outcome.UNSENT))
+NEVER_EXECUTED = frozenset((DialOutcome.REJECTED, DialOutcome.UNREACHABLE, DialOutcome.NOT_SENT))
 
 
 class ListKind(IntEnum):
@@ -55,25 +55,25 @@
 class Reason(StrEnum):
     """Why a session is refused or torn down."""
 
-    PACED = "set-ups fail all over the fleet"
-    TIME_UP = "no time left for a dial"
-    DIALS_USED = "all dials used"
+    THROTTLED = "set-ups fail all over the fleet"
+    DEADLINE = "no time left for a dial"
+    DIALS_EXHAUSTED = "all dials used"
     MAY_HAVE_RUN = "it may have run and must not run again"
-    FULL = "no server has room"
+    NO_CAPACITY = "no server has room"
     NO_SERVER = "no server is ready"
 
 
 class Timer(IntEnum):
-    LIST = 0
-    ASK = 1
+    LIST_REQUEST = 0
+    PROBE_TIMEOUT = 1
 
 
 class Listener(Struct, frozen=True):
     handshake_target: int
     dial_timeout: int
     effect: Effect
-    scope: Scope
-    memory: int
+    dedup_scope: DedupScope
+    dedup_window: int
     utility: float
     message_aim: int
 
@@ -88,26 +88,28 @@
     connect_timeout: int
     max_dials: int
     may_probe: bool
-    come_back_max: int
+    max_retry_after: int
     list_on_request: bool
-    ask_within: int
-    cold_share: float
+    list_poll_within: int
+    start_capacity: float
     warm_after: int
-    fall_multiple: float
-    fall_window: int
-    present_load: bool
-    tells_delay: bool  # how long messages take is told
-    passes_through: bool
-    crossing_price: float
+    overload_factor: float
+    overload_window: int
+    reports_load: bool
+    reports_delay: bool  # how long messages take is told
+    is_passthrough: bool
+    cross_zone_price: float
     drain_grace: int  # within which what is sent to a server that drains has to stop
-    promised: float  # connections that the fleet is to carry, the members' shares together; 0: not stated
+    quota_connections: (
+        float  # connections that the fleet is to carry, the members' shares together; 0: not stated
+    )
 
 
-class Entry(Struct):
+class ServerEntry(Struct):
     server: int
     zone: int
     cell: int
-    state: State
+    state: ServerState
     started: int
     weight: float = 1.0  # above 0, as the list gives it
     kind: int = -1  # of machine; -1: not told
@@ -116,16 +118,20 @@
 # Events
 
 
-class ServerList(Struct):
+class ServerListUpdated(Struct):
     kind: ListKind
-    entries: list[Entry]
-    out: int = 0  # FAILED: for how long the call was out; 0 for a watch, which was told all until it broke
-    in_turn: bool = False  # FAILED: the call went out by `FollowList`, and not as others did in that moment
-    listed: int = 0  # servers on the list, where some of them are still to be told
-
-
-class SessionCame(Struct):
-    sess: int
+    entries: list[ServerEntry]
+    call_duration: int = (
+        0  # FAILED: for how long the call was out; 0 for a watch, which was told all until it broke
+    )
+    is_scheduled: bool = (
+        False  # FAILED: the call went out by `RequestList`, and not as others did in that moment
+    )
+    listed_count: int = 0  # servers on the list, where some of them are still to be told
+
+
+class SessionArrived(Struct):
+    session_id: int
     listener: int
     budget: int
     hint: float | None
@@ -133,10 +139,10 @@
     mid_flow: bool
 
 
-class SessionStands(Struct):
+class SessionRestored(Struct):
     """A session that already stood on a server when this balancer started."""
 
-    sess: int
+    session_id: int
     listener: int
     hint: float | None
     subject: str | None
@@ -144,50 +150,50 @@
 
 
 class SessionLeft(Struct):
-    sess: int
+    session_id: int
 
 
-class Established(Struct):
-    sess: int
+class SessionEstablished(Struct):
+    session_id: int
     server: int
-    took: int
+    setup_duration: int
 
 
 class DialEnded(Struct):
-    sess: int
+    session_id: int
     server: int
-    outcome: Outcome
+    outcome: DialOutcome
     complete: bool
-    pressure: float | None
+    utilization: float | None
 
 
-class LoadTold(Struct):
-    sess: int
+class LoadReported(Struct):
+    session_id: int
     load: float
 
 
-class DelayTold(Struct):
+class DelayReported(Struct):
     """How long a message takes at this server now."""
 
-    sess: int
+    session_id: int
     server: int
     delay: int
 
 
-class Probed(Struct):
+class ProbeEnded(Struct):
     server: int
     answered: bool
-    pressure: float | None
+    utilization: float | None
 
 
-class TimerDue(Struct):
+class TimerFired(Struct):
     timer: Timer
     index: int
 
 
 Event = (
-    ServerList | SessionCame | SessionStands | SessionLeft | Established | DialEnded | LoadTold
-    | DelayTold | Probed | TimerDue
+    ServerListUpdated | SessionArrived | SessionRestored | SessionLeft | SessionEstablished | DialEnded
+    | LoadReported | DelayReported | ProbeEnded | TimerFired
 )  # fmt: skip
 
 
@@ -195,31 +201,31 @@
 
 
 class Dial(Struct):
-    sess: int
+    session_id: int
     server: int
     limit: int
 
 
 class Refuse(Struct):
-    sess: int
-    come_back: int
+    session_id: int
+    retry_after: int
     reason: Reason
 
 
 class TearDown(Struct):
-    sess: int
+    session_id: int
     reason: Reason
 
 
 class Move(Struct):
-    sess: int
+    session_id: int
 
 
 class Probe(Struct):
     server: int
 
 
-class FollowList(Struct):
+class RequestList(Struct):
     pass
 
 
@@ -233,4 +239,4 @@
     text: str
 
 
-Action = Dial | Refuse | TearDown | Move | Probe | FollowList | SetTimer | Log
+Action = Dial | Refuse | TearDown | Move | Probe | RequestList | SetTimer | Log
--- a/thymedeck/lab/cold.py
+++ b/thymedeck/lab/cold.py
@@ -18,15 +18,17 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from .. import interface as own
+from .. import interface
 from ..policy import SECOND, Balancer, chance_for
 
-LISTENER = own.Listener(3000, 12000, own.Effect.REPEATABLE, own.Scope.ALL, 50000, 1.0, 500)
-SITE = own.Deployment(
+LISTENER = interface.Listener(
+    3000, 12000, interface.Effect.IDEMPOTENT, interface.DedupScope.ALL, 50000, 1.0, 500
+)
+SITE = interface.Deployment(
     listeners=(LISTENER,), zone=0, replicas=1, tick=20, connect_timeout=1500, max_dials=4, may_probe=False,
-    come_back_max=0, list_on_request=False, ask_within=100000, cold_share=0.3, warm_after=88000,
-    fall_multiple=2.5, fall_window=20000, present_load=True, tells_delay=True, passes_through=False,
-    crossing_price=0.0, drain_grace=20000, promised=0.0,
+    max_retry_after=0, list_on_request=False, list_poll_within=100000, start_capacity=0.3, warm_after=88000,
+    overload_factor=2.5, overload_window=20000, reports_load=True, reports_delay=True, is_passthrough=False,
+    cross_zone_price=0.0, drain_grace=20000, quota_connections=0.0,
 )  # fmt: skip
 BEGIN = 100 * SECOND  # warm servers started long before
 ARRIVALS = ("even", "skewed", "bursts", "herd")
@@ -44,9 +46,9 @@
     rate: float = 60.0
     promised: int = 0  # for each server
 
-    def site(self) -> own.Deployment:
+    def site(self) -> interface.Deployment:
         total = float(self.promised * (self.warm + self.cold))
-        return replace(SITE, replicas=self.balancers, promised=total)
+        return replace(SITE, replicas=self.balancers, quota_connections=total)
 
 
 class WarmUp(Struct):
@@ -86,7 +88,7 @@
     drawn evenly, and at every moment from then on.
     """
     fleet = Fleet(case, seed)
-    window, length = SITE.fall_window, SITE.warm_after
+    window, length = SITE.overload_window, SITE.warm_after
     dense = rush = 0.0
     for step in range(steps):
         age = (step + 0.5) * length / steps
@@ -116,7 +118,7 @@
         ats = [chance.uniform(0, length) // every * every + chance.uniform(0, BURST) for _ in range(count)]
     elif case.arrivals == "herd":
         # Hardly anything until all come back at once, a fifth of the sessions on all balancers.
-        first = chance.uniform(0, length - SITE.fall_window)
+        first = chance.uniform(0, length - SITE.overload_window)
         ats = [
             chance.uniform(first, length) if at % 5 else first + chance.uniform(0, BURST)
             for at in range(count)
@@ -135,26 +137,29 @@
         self.standing: list[tuple[int, int, int]] = []  # balancer, session, server
         self.next = 0
         self.on_warm = 0
-        warm = [own.Entry(at, 0, 0, own.State.READY, 1) for at in range(case.warm)]
+        warm = [interface.ServerEntry(at, 0, 0, interface.ServerState.READY, 1) for at in range(case.warm)]
         for balancer in self.balancers:
-            balancer.handle(1, own.ServerList(own.ListKind.SAVED, warm))
+            balancer.handle(1, interface.ServerListUpdated(interface.ListKind.SAVED, warm))
         for at in range(case.warm * case.held):
             who = chance.randrange(case.balancers)
-            self.balancers[who].handle(BEGIN, own.SessionStands(at, 0, None, None, at % case.warm))
-            self.balancers[who].handle(BEGIN, own.LoadTold(at, 1.0))
+            self.balancers[who].handle(BEGIN, interface.SessionRestored(at, 0, None, None, at % case.warm))
+            self.balancers[who].handle(BEGIN, interface.LoadReported(at, 1.0))
             self.standing.append((who, at, at % case.warm))
         self.next = self.on_warm = len(self.standing)
-        cold = [own.Entry(case.warm + at, 0, 0, own.State.READY, BEGIN) for at in range(case.cold)]
-        kind = own.ListKind.CHANGES if warm else own.ListKind.SAVED
+        cold = [
+            interface.ServerEntry(case.warm + at, 0, 0, interface.ServerState.READY, BEGIN)
+            for at in range(case.cold)
+        ]
+        kind = interface.ListKind.CHANGES if warm else interface.ListKind.SAVED
         for balancer in self.balancers:
-            balancer.handle(BEGIN, own.ServerList(kind, cold))
+            balancer.handle(BEGIN, interface.ServerListUpdated(kind, cold))
 
     def allowed(self, age: float) -> float:
         """N."""
         case = self.case
         held = self.on_warm / case.warm if case.warm else len(self.standing) / case.cold
-        able = SITE.cold_share + (1 - SITE.cold_share) * age / SITE.warm_after
-        part = SITE.fall_multiple * able * SITE.fall_window / SITE.warm_after
+        able = SITE.start_capacity + (1 - SITE.start_capacity) * age / SITE.warm_after
+        part = SITE.overload_factor * able * SITE.overload_window / SITE.warm_after
         return part * max(held, case.promised, 1)
 
     def parts(self, now: int) -> list[float]:
@@ -175,7 +180,9 @@
         fell_three: set[int] = set()
         before = 0.0
         for age, who in times(case, self.chance):
-            seen.allowed += case.cold * self.allowed((age + before) / 2) * (age - before) / SITE.fall_window
+            seen.allowed += (
+                case.cold * self.allowed((age + before) / 2) * (age - before) / SITE.overload_window
+            )
             before = age
             seen.came += 1
             server = self.come(who, BEGIN + int(age))
@@ -187,7 +194,7 @@
                 continue
             seen.sent += 1
             window.append(age)
-            while window[0] <= age - SITE.fall_window:
+            while window[0] <= age - SITE.overload_window:
                 window.popleft()
             allowed = self.allowed(age)
             seen.worst = max(seen.worst, len(window) / allowed)
@@ -205,16 +212,18 @@
             at = self.chance.randrange(len(self.standing))
             self.standing[at], self.standing[-1] = self.standing[-1], self.standing[at]
             holder, ended, server = self.standing.pop()
-            self.balancers[holder].handle(now, own.DialEnded(ended, server, own.Outcome.ENDED, True, None))
+            self.balancers[holder].handle(
+                now, interface.DialEnded(ended, server, interface.DialOutcome.COMPLETED, True, None)
+            )
             self.on_warm -= server < self.case.warm
         sess = self.next
         self.next += 1
         balancer = self.balancers[who]
-        out = balancer.handle(now, own.SessionCame(sess, 0, 12000, None, None, False))
+        out = balancer.handle(now, interface.SessionArrived(sess, 0, 12000, None, None, False))
         for action in out:
-            if isinstance(action, own.Dial):
-                balancer.handle(now, own.Established(sess, action.server, 20))
-                balancer.handle(now, own.LoadTold(sess, 1.0))
+            if isinstance(action, interface.Dial):
+                balancer.handle(now, interface.SessionEstablished(sess, action.server, 20))
+                balancer.handle(now, interface.LoadReported(sess, 1.0))
                 self.standing.append((who, sess, action.server))
                 self.on_warm += action.server < self.case.warm
                 return action.server
--- a/thymedeck/lab/scale/listing.py
+++ b/thymedeck/lab/scale/listing.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from ... import interface as own
+from ... import interface
 from ...policy import Balancer
-from ...stated import Env, deployment
+from ...settings import Settings, deployment_from
 from ..play import settings
 from .crowd import run_lists
 from .daemon import Daemon, row_of
@@ -92,28 +92,30 @@
 
 
 def pick_here(servers: int, repeat: int) -> dict:
-    site = deployment(msgspec.convert(settings(1, ["m1"], ["a"]), Env))
+    site = deployment_from(msgspec.convert(settings(1, ["m1"], ["a"]), Settings))
     balancer = Balancer(repeat, site)
     before, now = memory(os.getpid()), 1_000_000
     begin = time.process_time()
-    entries = [own.Entry(at, 0, at % 64, own.State.READY, 0) for at in range(servers)]
-    balancer.handle(now, own.ServerList(own.ListKind.WHOLE, entries))
+    entries = [interface.ServerEntry(at, 0, at % 64, interface.ServerState.READY, 0) for at in range(servers)]
+    balancer.handle(now, interface.ServerListUpdated(interface.ListKind.WHOLE, entries))
     listed, held = time.process_time() - begin, memory(os.getpid()) - before
     sess, spent, count = 0, 0.0, 0
     standing: list[tuple[int, int]] = []
     while count < PICKS or spent < PICK_FOR:
         now += GAP
         begin = time.process_time()
-        actions = balancer.handle(now, own.SessionCame(sess, 0, 20_000, None, None, False))
+        actions = balancer.handle(now, interface.SessionArrived(sess, 0, 20_000, None, None, False))
         took = time.process_time() - begin
-        server = next(one.server for one in actions if isinstance(one, own.Dial))
-        balancer.handle(now, own.Established(sess, server, 10))
+        server = next(one.server for one in actions if isinstance(one, interface.Dial))
+        balancer.handle(now, interface.SessionEstablished(sess, server, 10))
         standing.append((sess, server))
         sess += 1
         if len(standing) > STANDING:
             spent, count = spent + took, count + 1
             gone, server = standing.pop(0)
-            balancer.handle(now, own.DialEnded(gone, server, own.Outcome.ENDED, True, None))
+            balancer.handle(
+                now, interface.DialEnded(gone, server, interface.DialOutcome.COMPLETED, True, None)
+            )
     return {
         "picks": count, "pick_us": f"{spent * 1e6 / count:.2f}", "list_ms": ms(listed), "memory": held,
     }  # fmt: skip
--- a/thymedeck/net/endings.py
+++ b/thymedeck/net/endings.py
@@ -2,7 +2,7 @@
 
 from enum import Enum, auto
 
-from ..interface import Outcome
+from ..interface import DialOutcome
 
 
 class Ending(Enum):
@@ -33,25 +33,25 @@
 
 
 OUTCOMES = {
-    Ending.NO_SOCKET: Outcome.UNSENT,
-    Ending.NOT_UP: Outcome.UNREACHABLE,
-    Ending.OVERTAKEN: Outcome.UNSENT,
-    Ending.CUT_UNSENT: Outcome.UNREACHABLE,
-    Ending.CUT_SENT: Outcome.RESET,
-    Ending.GIVEN_UP: Outcome.OVERDUE,
-    Ending.TURNED_AWAY: Outcome.FULL,
-    Ending.ERRED: Outcome.ERROR,
-    Ending.SERVED: Outcome.ENDED,
-    Ending.SENT_AWAY: Outcome.SENT_AWAY,
-    Ending.SERVER_ENDED: Outcome.RESET,
-    Ending.SERVER_BROKE: Outcome.RESET,
-    Ending.MOVED: Outcome.CANCELLED,
-    Ending.MOVE_OVERDUE: Outcome.CANCELLED,
-    Ending.CLIENT_LEFT: Outcome.CANCELLED,
-    Ending.CLIENT_BROKE: Outcome.CANCELLED,
-    Ending.ANSWERED: Outcome.CANCELLED,
-    Ending.MALFORMED: Outcome.CANCELLED,
-    Ending.IDLE: Outcome.CANCELLED,
-    Ending.PUSHED_OUT: Outcome.CANCELLED,
-    Ending.STOPPED: Outcome.CANCELLED,
+    Ending.NO_SOCKET: DialOutcome.NOT_SENT,
+    Ending.NOT_UP: DialOutcome.UNREACHABLE,
+    Ending.OVERTAKEN: DialOutcome.NOT_SENT,
+    Ending.CUT_UNSENT: DialOutcome.UNREACHABLE,
+    Ending.CUT_SENT: DialOutcome.RESET,
+    Ending.GIVEN_UP: DialOutcome.TIMED_OUT,
+    Ending.TURNED_AWAY: DialOutcome.REJECTED,
+    Ending.ERRED: DialOutcome.ERROR,
+    Ending.SERVED: DialOutcome.COMPLETED,
+    Ending.SENT_AWAY: DialOutcome.MOVED,
+    Ending.SERVER_ENDED: DialOutcome.RESET,
+    Ending.SERVER_BROKE: DialOutcome.RESET,
+    Ending.MOVED: DialOutcome.CANCELLED,
+    Ending.MOVE_OVERDUE: DialOutcome.CANCELLED,
+    Ending.CLIENT_LEFT: DialOutcome.CANCELLED,
+    Ending.CLIENT_BROKE: DialOutcome.CANCELLED,
+    Ending.ANSWERED: DialOutcome.CANCELLED,
+    Ending.MALFORMED: DialOutcome.CANCELLED,
+    Ending.IDLE: DialOutcome.CANCELLED,
+    Ending.PUSHED_OUT: DialOutcome.CANCELLED,
+    Ending.STOPPED: DialOutcome.CANCELLED,
 }
--- a/thymedeck/net/serverlist.py
+++ b/thymedeck/net/serverlist.py
@@ -5,7 +5,7 @@
 import httptools
 import msgspec
 
-from .. import interface as own
+from .. import interface
 from .connection import Connection
 from .loop import Loop
 from .told import UNREADABLE, Listing
@@ -150,11 +150,11 @@
     """Follows the list while the decisions want it."""
 
     def __init__(
-        self, service: "Service", address: tuple[str, int], site: own.Deployment, version: int
+        self, service: "Service", address: tuple[str, int], site: interface.Deployment, version: int
     ) -> None:
         self.service = service
         self.address = address
-        self.wait = min(site.ask_within // 2, LONGEST_WAIT)
+        self.wait = min(site.list_poll_within // 2, LONGEST_WAIT)
         # Where lists are pushed what is there counts as told, whether or not a call hangs.
         self.most_patience = ANSWER_WITHIN if site.list_on_request else site.drain_grace // 2
         self.version = version
--- a/thymedeck/net/servers.py
+++ b/thymedeck/net/servers.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..interface import Entry
+from ..interface import ServerEntry
 from .connection import Connection
 from .endings import Ending
 from .lines import Garbled, Lines, first_line, readable
@@ -23,7 +23,7 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self.entry: Entry | None = None  # as last listed
+        self.entry: ServerEntry | None = None  # as last listed
         self.beat = Beat()
         self.delays: list[int] = []  # the latest; no deque, which takes 700 bytes even if empty
         self.slow = False  # its messages were told to be slow
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -12,9 +12,9 @@
 import msgspec
 from msgspec.structs import replace
 
-from .. import interface as own
+from .. import interface
 from ..policy import Balancer
-from ..stated import LEAST_WEIGHT, deployment
+from ..settings import MIN_WEIGHT, deployment_from
 from .clients import Client, Door
 from .endings import OUTCOMES, Ending
 from .lines import readable
@@ -37,7 +37,11 @@
 )
 
 SECOND = 10_000
-STATES = {"SERVING": own.State.READY, "DRAINING": own.State.DRAINING, "DELETED": own.State.GONE}
+STATES = {
+    "SERVING": interface.ServerState.READY,
+    "DRAINING": interface.ServerState.DRAINING,
+    "DELETED": interface.ServerState.GONE,
+}
 FIXED_WITHIN = 35 * SECOND  # for a session that stood before to be up again
 FIXED_PAUSE = 2_000
 LONGEST_WAIT = 86_400_000  # that a client may state, in milliseconds
@@ -105,7 +109,7 @@
     return told.limits.sockets if granted == resource.RLIM_INFINITY else min(granted, told.limits.sockets)
 
 
-def is_news(before: own.Entry | None, entry: own.Entry) -> bool:
+def is_news(before: interface.ServerEntry | None, entry: interface.ServerEntry) -> bool:
     """Whether more than the weight has changed, which a list may renew for all its servers each second."""
     return before is None or replace(before, weight=entry.weight) != entry
 
@@ -118,7 +122,7 @@
         self.path = start.path
         self.loop = Loop(self.log.fault, descriptors(told), system)
         # The protocol has no probes; connections end here.
-        self.site = replace(deployment(env), may_probe=False, passes_through=False)
+        self.site = replace(deployment_from(env), may_probe=False, is_passthrough=False)
         self.balancer = Balancer(start.seed, self.site)
         self.uniform = random.Random(start.seed).uniform
         self.listeners = {one.name.encode(): at for at, one in enumerate(env.listeners)}
@@ -128,7 +132,7 @@
         self.since_unix = self.loop.now() - system.time_ns() // 100_000
         self.server_index: dict[str, int] = {}
         self.servers: list[Known] = []
-        self.untold: dict[int, tuple[Row | None, own.ListKind]] = {}  # listed, and still to be told
+        self.untold: dict[int, tuple[Row | None, interface.ListKind]] = {}  # listed, and still to be told
         self.in_use: dict[int, Known] = {}  # those with sessions, or with delays not told yet
         self.clients: dict[int, Client] = {}
         self.idents: set[bytes] = set()  # of these
@@ -138,7 +142,7 @@
         self.next_sess = 0
         self.list_due = self.loop.after(0, lambda: None)  # when the decisions ask for the list again
         self.dials = 0  # made since the start, but those of sessions that stood before
-        self.events: deque[own.Event] = deque()
+        self.events: deque[interface.Event] = deque()
         self.telling = False
         self.is_able = False
         self.stopping = False
@@ -149,7 +153,7 @@
         known = told.known or Listing(version=-1)
         self.follower = Follower(self, start.discovery, self.site, known.version)
         self.listen = start.listen
-        self.take_list(known, own.ListKind.SAVED)
+        self.take_list(known, interface.ListKind.SAVED)
         if not self.site.list_on_request:
             self.follower.follow()
 
@@ -168,7 +172,7 @@
 
     # The decisions
 
-    def tell(self, event: own.Event) -> None:
+    def tell(self, event: interface.Event) -> None:
         """Guards against an action that brings the next event about before the others are done."""
         self.events.append(event)
         if self.telling:
@@ -178,7 +182,7 @@
             self.loop.guard(self.decide, self.events.popleft())
         self.telling = False
 
-    def decide(self, event: own.Event) -> None:
+    def decide(self, event: interface.Event) -> None:
         """Guards against an action whose fault loses the event's others."""
         begun = self.loop.now()
         actions = self.balancer.handle(begun, event)
@@ -190,32 +194,32 @@
         for action in actions:
             self.loop.guard(self.carry_out, action)
 
-    def carry_out(self, action: own.Action) -> None:
+    def carry_out(self, action: interface.Action) -> None:
         match action:
-            case own.Dial():
+            case interface.Dial():
                 self.dial(action)
-            case own.SetTimer():
-                due = own.TimerDue(action.timer, action.index)
+            case interface.SetTimer():
+                due = interface.TimerFired(action.timer, action.index)
                 set_now = self.loop.after(action.after, lambda: self.tell(due))
-                if action.timer is own.Timer.LIST:
+                if action.timer is interface.Timer.LIST_REQUEST:
                     # Guards against one more chain of calls for each SIGHUP while the list can't be had.
                     self.list_due.cancel()
                     self.list_due = set_now
-            case own.Refuse():
-                line = b"BUSY %d\r\n" % (action.come_back // 10) if action.come_back else b"BUSY\r\n"
-                self.answer(action.sess, line, action.reason)
-            case own.TearDown():
-                self.answer(action.sess, b"ERR no server\r\n", action.reason)
-            case own.Move():
-                client = self.clients.get(action.sess)
+            case interface.Refuse():
+                line = b"BUSY %d\r\n" % (action.retry_after // 10) if action.retry_after else b"BUSY\r\n"
+                self.answer(action.session_id, line, action.reason)
+            case interface.TearDown():
+                self.answer(action.session_id, b"ERR no server\r\n", action.reason)
+            case interface.Move():
+                client = self.clients.get(action.session_id)
                 if client is not None:
                     client.move()
-            case own.FollowList():
+            case interface.RequestList():
                 self.follower.follow(in_turn=True)
-            case own.Log():
+            case interface.Log():
                 self.log("mode", text=action.text)
 
-    def answer(self, sess: int, line: bytes, reason: own.Reason) -> None:
+    def answer(self, sess: int, line: bytes, reason: interface.Reason) -> None:
         client = self.let_go(sess)
         if client is not None:
             self.log("answer", sess=sess, line=line.decode().strip(), why=reason)
@@ -282,30 +286,32 @@
             self.hold(client)
             client.fixed = server
             client.fixed_until = self.loop.now() + FIXED_WITHIN
-            self.tell(own.SessionStands(sess, listener, hint, subject, server))
+            self.tell(interface.SessionRestored(sess, listener, hint, subject, server))
             self.dial_fixed(client)
             return
         self.hold(client)
         # Guards against an answer after the client's time: some has passed while the line lay unread.
         wait = max(wait - self.loop.waited(), 0)
         client.await_answer(wait)
-        self.tell(own.SessionCame(sess, listener, wait, hint, subject, figures.get(b"mid_flow") == b"1"))
+        self.tell(
+            interface.SessionArrived(sess, listener, wait, hint, subject, figures.get(b"mid_flow") == b"1")
+        )
 
-    def dial(self, action: own.Dial) -> None:
+    def dial(self, action: interface.Dial) -> None:
         self.dials += 1
-        sess, server = action.sess, action.server
+        sess, server = action.session_id, action.server
         client = self.clients.get(sess)  # None: it has left, which is still to be told
         within = self.site.connect_timeout
         # Guards against an attempt past the client's time: the decision took some of it.
         limit = min(action.limit, client.answer_by - self.loop.now()) if client is not None else 0
         if limit <= 0 or self.closing or not self.begin_dial(client, server, within, limit):
             gone = sess not in self.clients
-            self.tell(own.DialEnded(sess, server, OUTCOMES[Ending.NO_SOCKET], gone, None))
+            self.tell(interface.DialEnded(sess, server, OUTCOMES[Ending.NO_SOCKET], gone, None))
 
     def may_send(self, dial: Dialled) -> bool:
         """Guards against a line sent to a server that was told to drain while the dial came up."""
         entry = self.servers[dial.server].entry
-        return dial.client.fixed >= 0 or entry is None or entry.state is own.State.READY
+        return dial.client.fixed >= 0 or entry is None or entry.state is interface.ServerState.READY
 
     def make_room(self, least: int) -> None:
         """Guards against a crowd that says nothing, or stays on, and takes the sockets that others need."""
@@ -350,7 +356,7 @@
 
     def not_up(self, client: Client) -> None:
         self.let_go(client.sess)
-        self.tell(own.DialEnded(client.sess, client.fixed, OUTCOMES[Ending.NOT_UP], True, None))
+        self.tell(interface.DialEnded(client.sess, client.fixed, OUTCOMES[Ending.NOT_UP], True, None))
         client.answer(b"ERR not up\r\n", Ending.ANSWERED)
 
     def stands(self, dial: Dialled, took: int) -> None:
@@ -360,7 +366,7 @@
         known.standing[client] = None
         if client.fixed < 0:
             self.log("up", sess=client.sess, server=dial.server, took=took)
-            self.tell(own.Established(client.sess, dial.server, took))
+            self.tell(interface.SessionEstablished(client.sess, dial.server, took))
 
     def dial_over(self, dial: Dialled, ending: Ending) -> None:
         client = dial.client
@@ -377,12 +383,12 @@
         )
         outcome = OUTCOMES[ending]
         if client.fixed >= 0:
-            if outcome in own.NEVER_RAN and self.loop.now() + FIXED_PAUSE < client.fixed_until:
+            if outcome in interface.NEVER_EXECUTED and self.loop.now() + FIXED_PAUSE < client.fixed_until:
                 self.loop.after(FIXED_PAUSE, lambda: self.dial_fixed(client))
             else:
                 self.not_up(client)
             return
-        self.tell(own.DialEnded(client.sess, dial.server, outcome, False, None))
+        self.tell(interface.DialEnded(client.sess, dial.server, outcome, False, None))
 
     def client_over(self, client: Client, ending: Ending) -> None:
         """The client's side has ended; what is left of the session ends with it."""
@@ -392,13 +398,13 @@
             dial.close()
         elif self.let_go(client.sess) is not None:
             self.log("left", sess=client.sess, ending=ending.name)
-            self.tell(own.SessionLeft(client.sess))
+            self.tell(interface.SessionLeft(client.sess))
             server = client.fixed  # of a session that stood before, also between two tries
             if dial is not None:
                 server = dial.server
                 dial.finish(ending)
             if server >= 0:
-                self.tell(own.DialEnded(client.sess, server, OUTCOMES[ending], True, None))
+                self.tell(interface.DialEnded(client.sess, server, OUTCOMES[ending], True, None))
 
     def session_over(self, client: Client, ending: Ending) -> None:
         """A standing session has ended, told once."""
@@ -407,7 +413,7 @@
         server = client.dial.server
         self.servers[server].standing.pop(client, None)
         self.log("session", sess=client.sess, server=server, ending=ending.name)
-        self.tell(own.DialEnded(client.sess, server, OUTCOMES[ending], True, None))
+        self.tell(interface.DialEnded(client.sess, server, OUTCOMES[ending], True, None))
 
     # What lines tell
 
@@ -419,13 +425,13 @@
         sess, now, figures = dial.client.sess, self.loop.now(), dial.figures
         if not 0 <= load < MOST_LOAD or sess not in self.clients:
             return
-        if self.site.tells_delay and self.servers[dial.server].beat.is_on(now, figures):
+        if self.site.reports_delay and self.servers[dial.server].beat.is_on(now, figures):
             if figures.came_a_beat_ago(now) and figures.before is not None:
-                self.tell(own.LoadTold(sess, figures.before))  # that line was such a note too
-            self.tell(own.DelayTold(sess, dial.server, int(load * 10)))
+                self.tell(interface.LoadReported(sess, figures.before))  # that line was such a note too
+            self.tell(interface.DelayReported(sess, dial.server, int(load * 10)))
             return
         figures.take(now, load)
-        self.tell(own.LoadTold(sess, load))
+        self.tell(interface.LoadReported(sess, load))
 
     def message_took(self, server: int, took: int) -> None:
         known = self.in_use[server] = self.servers[server]
@@ -454,7 +460,7 @@
                 slow = 3 * delay > self.balancer.shortest_aim
                 if slow or server.slow:
                     client = next(iter(late or server.standing), None)
-                    self.tell(own.DelayTold(-1 if client is None else client.sess, index, delay))
+                    self.tell(interface.DelayReported(-1 if client is None else client.sess, index, delay))
                 server.slow = slow
             for client in late:
                 borne = SILENT_TOGETHER if server.stopped else SILENT
@@ -465,33 +471,33 @@
     # The list
 
     def listed(self, listing: Listing) -> None:
-        kind = own.ListKind.WHOLE if listing.full else own.ListKind.CHANGES
+        kind = interface.ListKind.WHOLE if listing.full else interface.ListKind.CHANGES
         self.take_list(listing, kind)
 
-    def take_list(self, listing: Listing, kind: own.ListKind) -> None:
+    def take_list(self, listing: Listing, kind: interface.ListKind) -> None:
         rows: dict[int, Row | None] = {}  # of servers that are new or changed; None: not to be logged
-        named: dict[int, own.Entry] = {}
+        named: dict[int, interface.ServerEntry] = {}
         for raw in listing.servers:
             index, entry, row = self.read_entry(raw)
             if entry is None:
                 continue
             named[index] = entry
             known = self.servers[index]
-            if entry.state is not own.State.READY and kind is not own.ListKind.SAVED:
+            if entry.state is not interface.ServerState.READY and kind is not interface.ListKind.SAVED:
                 self.drains(index)
             if entry != known.entry:
                 rows[index] = row if is_news(known.entry, entry) else None
                 known.entry = entry
-        if kind is own.ListKind.WHOLE:
+        if kind is interface.ListKind.WHOLE:
             rows |= dict.fromkeys(self.drop_unlisted(named.keys()))
         self.log("list_taken", kind=kind.name, servers=len(named), changed=len(rows))
-        if kind is own.ListKind.SAVED:
+        if kind is interface.ListKind.SAVED:
             self.log_listed(rows, kind)
-            self.tell(own.ServerList(kind, list(named.values())))
+            self.tell(interface.ServerListUpdated(kind, list(named.values())))
         else:
             self.tell_changes(rows, kind)
 
-    def tell_changes(self, rows: dict[int, Row | None], kind: own.ListKind) -> None:
+    def tell_changes(self, rows: dict[int, Row | None], kind: interface.ListKind) -> None:
         """Servers that get nothing new are told at once, the others so many a turn.
 
         Guards against a long list that holds up all else.
@@ -500,7 +506,7 @@
         not_ready = []
         for at, row in rows.items():
             self.untold[at] = (row, kind)
-            if self.servers[at].entry.state is not own.State.READY:
+            if self.servers[at].entry.state is not interface.ServerState.READY:
                 not_ready.append(at)
         if not_ready:
             self.tell_of(not_ready)
@@ -519,14 +525,16 @@
             self.log_listed({index: row}, kind)
         entries = [self.servers[at].entry for at in indexes]
         self.tell(
-            own.ServerList(own.ListKind.CHANGES, entries, listed=self.count_listed() if self.untold else 0)
+            interface.ServerListUpdated(
+                interface.ListKind.CHANGES, entries, listed_count=self.count_listed() if self.untold else 0
+            )
         )
 
     def count_listed(self) -> int:
         """Guards against a budget for each server that is taken from a part of the list."""
-        return sum(known.entry.state is not own.State.GONE for known in self.servers)
+        return sum(known.entry.state is not interface.ServerState.GONE for known in self.servers)
 
-    def read_entry(self, raw: msgspec.Raw) -> tuple[int, own.Entry | None, Row | None]:
+    def read_entry(self, raw: msgspec.Raw) -> tuple[int, interface.ServerEntry | None, Row | None]:
         """A server's index, its entry, and how that was spelt; no entry where nothing of it can be used."""
         try:
             row = usable(raw)
@@ -547,13 +555,13 @@
             index = self.server_index[row.id] = len(self.servers)
             self.servers.append(Known(place))
         self.servers[index].address = place
-        state = STATES.get(row.state, own.State.DRAINING)
+        state = STATES.get(row.state, interface.ServerState.DRAINING)
         started = max(int(row.started_ms * 10) + self.since_unix, 1) if row.started_ms > 0 else 0
-        weight = max(row.weight, LEAST_WEIGHT)
+        weight = max(row.weight, MIN_WEIGHT)
         zone, machine = self.zones.get(row.zone, -1), self.kinds.get(row.kind, -1)
-        return index, own.Entry(index, zone, row.cell, state, started, weight, machine), row
+        return index, interface.ServerEntry(index, zone, row.cell, state, started, weight, machine), row
 
-    def log_listed(self, rows: dict[int, Row | None], kind: own.ListKind) -> None:
+    def log_listed(self, rows: dict[int, Row | None], kind: interface.ListKind) -> None:
         for index, row in rows.items():
             if row is not None:
                 more = {
@@ -568,8 +576,8 @@
         """What a whole list leaves out is gone; returns what was there before."""
         gone = []
         for index, known in enumerate(self.servers):
-            if index not in named and known.entry.state is not own.State.GONE:
-                known.entry = replace(known.entry, state=own.State.GONE)
+            if index not in named and known.entry.state is not interface.ServerState.GONE:
+                known.entry = replace(known.entry, state=interface.ServerState.GONE)
                 self.drains(index)
                 gone.append(index)
         return gone
@@ -590,14 +598,14 @@
         """What is known is of before, as at a start. Guards against all that are told so calling at once."""
         if self.site.list_on_request:
             entries = [known.entry for known in self.servers if known.entry is not None]
-            self.tell(own.ServerList(own.ListKind.SAVED, entries))
+            self.tell(interface.ServerListUpdated(interface.ListKind.SAVED, entries))
         else:
             self.follower.follow()
 
     def list_failed(self, why: str, out: int, in_turn: bool) -> None:
         self.log("list_failed", why=why)
         # The decisions ask again, spread by chance. Guards against many balancers that call in step.
-        self.tell(own.ServerList(own.ListKind.FAILED, [], out, in_turn))
+        self.tell(interface.ServerListUpdated(interface.ListKind.FAILED, [], out, in_turn))
 
     # A new configuration
 
--- a/thymedeck/net/told.py
+++ b/thymedeck/net/told.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..stated import Env
+from ..settings import Settings
 
 UNREADABLE = (ValueError, msgspec.MsgspecError, RecursionError)  # what text that is nested too deep ends in
 
@@ -44,7 +44,7 @@
     name: str
     listen: str
     discovery: str
-    settings: Env
+    settings: Settings
     seed: str = "0"
     known: Listing | None = None
     limits: Limits = msgspec.field(default_factory=Limits)
--- a/thymedeck/peers/carrier.py
+++ b/thymedeck/peers/carrier.py
@@ -98,7 +98,7 @@
         if service.stopping and not self.stopping:
             self.stopping = True
             self.tell(Leaving())
-        window = service.site.fall_window
+        window = service.site.overload_window
         self.dials.append((now, service.dials))
         while len(self.dials) > 1 and self.dials[1][0] <= now - window:
             self.dials.popleft()
--- a/thymedeck/policy/balancer.py
+++ b/thymedeck/policy/balancer.py
@@ -12,39 +12,47 @@
 from typing import NamedTuple
 
 from ..interface import (
-    NEVER_RAN,
+    NEVER_EXECUTED,
     Action,
-    DelayTold,
+    DedupScope,
+    DelayReported,
     Deployment,
     Dial,
     DialEnded,
+    DialOutcome,
     Effect,
-    Entry,
-    Established,
     Event,
-    FollowList,
     ListKind,
-    LoadTold,
+    LoadReported,
     Log,
     Move,
-    Outcome,
     Probe,
-    Probed,
+    ProbeEnded,
     Reason,
     Refuse,
-    Scope,
-    ServerList,
-    SessionCame,
+    RequestList,
+    ServerEntry,
+    ServerListUpdated,
+    ServerState,
+    SessionArrived,
+    SessionEstablished,
     SessionLeft,
-    SessionStands,
+    SessionRestored,
     SetTimer,
-    State,
     TearDown,
     Timer,
-    TimerDue,
+    TimerFired,
+)
+from .candidates import AgeStage, Candidates, ColdGroup, Group
+from .server import (
+    FADE_TIME,
+    RECENT_LIMIT,
+    SECOND,
+    SETUP_WAITS_LIMIT,
+    SLOW_LOADS_LIMIT,
+    Server,
+    append_bounded,
 )
-from .candidates import Candidates, ColdGroup, Group, Stage
-from .server import CROWDED, FADE, RECENT, SECOND, SLOW_RUN, Server, remember
 
 LOG_PAUSE = 10 * SECOND  # a mode that has rested this long is logged again when it returns
 HISTORY = 100  # connections whose mean stands in for a load not yet told (design page)
@@ -168,7 +176,7 @@
         # A set-up that takes half the shortest handshake target is late: what it needs is filling up.
         self.late_after = min(listener.handshake_target for listener in deployment.listeners) // 2
         # Guards against balancers that ask together and queue up at a list that does not grow with them.
-        self.list_spread = min(LIST_PART * deployment.replicas, MOST_SPREAD) * deployment.ask_within
+        self.list_spread = min(LIST_PART * deployment.replicas, MOST_SPREAD) * deployment.list_poll_within
         # Guards against what many balancers try again one by one: together they must let it recover.
         self.try_wait = min(max(TRY_WAIT * deployment.replicas, TRY_WAIT_LEAST), TRY_WAIT_MOST)
         chance = random.Random(seed)
@@ -179,7 +187,7 @@
         self.now = 0
         self.out: list[Action] = []
         self.servers: dict[int, Server] = {}
-        self.candidates = Candidates(deployment.warm_after, max(deployment.fall_window, BLIND_FOR))
+        self.candidates = Candidates(deployment.warm_after, max(deployment.overload_window, BLIND_FOR))
         self.settled_at = 0  # when active servers were last looked at for idle ones
         self.listed = 0  # servers on the list, in whatever state
         self.most_listed = 0  # servers on the list at once
@@ -192,7 +200,7 @@
         self.quickest: dict[int, int] = {}  # set-up by zone
         self.waits: deque[int] = deque(maxlen=HISTORY)  # what set-ups took beyond these
         self.set_ups: deque[tuple[Server, bool]] = deque(maxlen=FLEET_RECENT)
-        self.came: deque[int] = deque((0,), maxlen=RECENT)  # when dials were due lately
+        self.came: deque[int] = deque((0,), maxlen=RECENT_LIMIT)  # when dials were due lately
         self.setting_up = 0  # dials out
         self.storm = False  # set-ups fail all over the fleet
         self.room = 1  # dials that may be out in a storm
@@ -209,9 +217,11 @@
         self.work: dict[int, deque[tuple[bool, int]]] = {}  # by kind, the last set-ups: own zone or not, took
         self.crowd_at = -LOG_PAUSE - 1  # last refusal because every server was at its cap
         self.handlers: dict[type, Callable[[Event], None]] = {
-            ServerList: self.on_list, SessionCame: self.on_came, SessionStands: self.on_stands,
-            SessionLeft: self.on_left, Established: self.on_established, DialEnded: self.on_dial_ended,
-            LoadTold: self.on_load, DelayTold: self.on_delay, Probed: self.on_probed, TimerDue: self.on_timer,
+            ServerListUpdated: self.on_list, SessionArrived: self.on_came,
+            SessionRestored: self.on_stands, SessionLeft: self.on_left,
+            SessionEstablished: self.on_established, DialEnded: self.on_dial_ended,
+            LoadReported: self.on_load, DelayReported: self.on_delay, ProbeEnded: self.on_probed,
+            TimerFired: self.on_timer,
         }  # fmt: skip
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -222,17 +232,21 @@
 
     # The list of servers
 
-    def on_list(self, event: ServerList) -> None:
+    def on_list(self, event: ServerListUpdated) -> None:
         site = self.site
         if event.kind is ListKind.SAVED and site.list_on_request:
-            self.set_timer(Timer.LIST, 0, self.uniform(0, min(self.list_spread, LIST_WITHIN)))
+            self.set_timer(Timer.LIST_REQUEST, 0, self.uniform(0, min(self.list_spread, LIST_WITHIN)))
         elif event.kind is ListKind.FAILED:
             self.list_failures += 1
-            base = max(site.ask_within / 20 * 2 ** min(self.list_failures, 3), self.list_spread)
+            base = max(site.list_poll_within / 20 * 2 ** min(self.list_failures, 3), self.list_spread)
             # Guards against a drain heard of too late: what is pushed counts as told while nobody asks.
-            base = min(base, LIST_WITHIN - event.out, base if site.list_on_request else site.drain_grace / 4)
-            low = max(base / 2, min(base, self.list_spread)) if event.in_turn else 0  # a turn is kept
-            self.set_timer(Timer.LIST, 0, self.uniform(low, base))
+            base = min(
+                base,
+                LIST_WITHIN - event.call_duration,
+                base if site.list_on_request else site.drain_grace / 4,
+            )
+            low = max(base / 2, min(base, self.list_spread)) if event.is_scheduled else 0  # a turn is kept
+            self.set_timer(Timer.LIST_REQUEST, 0, self.uniform(low, base))
             if self.list_failures == 1:
                 self.log("list lost; going on with the last one")
             return
@@ -246,42 +260,42 @@
             for server in self.servers.values():
                 if server.index not in named:
                     self.list_gone(server)
-        self.candidates.settle(self.now, list(self.candidates.active.values()))
+        self.candidates.regroup_idle(self.now, list(self.candidates.active.values()))
         if changed or event.kind is not ListKind.CHANGES:
             self.kinds_at = -LOOK_EVERY - 1  # guards against a draw among kinds not looked at yet
-            self.most_listed = max(self.most_listed, self.listed, event.listed)
+            self.most_listed = max(self.most_listed, self.listed, event.listed_count)
 
-    def take_entry(self, entry: Entry, known: list[Server]) -> bool:
+    def take_entry(self, entry: ServerEntry, known: list[Server]) -> bool:
         """Whether more than the weight is new."""
         server = self.servers.get(entry.server)
         if server is None:
             server = self.servers[entry.server] = Server(entry)
-            self.listed += entry.state is not State.GONE
+            self.listed += entry.state is not ServerState.GONE
             self.start(server, known)
             self.offer(server)
             return True
         if entry.started == server.started and entry.state is server.state:
-            self.candidates.reweigh(server, entry.weight)
+            self.candidates.set_weight(server, entry.weight)
             return False
         self.candidates.remove(server)
-        self.listed += (entry.state is not State.GONE) - (server.state is not State.GONE)
+        self.listed += (entry.state is not ServerState.GONE) - (server.state is not ServerState.GONE)
         again = entry.started > server.started
-        server.list_as(entry)
+        server.update_from(entry)
         if again:
             # Guards against a restarted server that draws a rush because its sum was emptied.
-            server.forget()
+            server.reset_history()
             self.start(server, known)
         self.offer(server)
         return True
 
     def list_gone(self, server: Server) -> None:
-        if server.state is not State.GONE:
+        if server.state is not ServerState.GONE:
             self.candidates.remove(server)
             self.listed -= 1
-            server.state = State.GONE
+            server.state = ServerState.GONE
 
     def offer(self, server: Server) -> None:
-        if server.state is State.READY:
+        if server.state is ServerState.READY:
             self.candidates.add(server, self.now)
 
     def start(self, server: Server, known: list[Server]) -> None:
@@ -304,42 +318,42 @@
         return self.mean if sess.load is None else sess.load
 
     def own_sum(self, server: Server) -> float:
-        return server.told + server.lacking * self.mean
+        return server.known_load + server.unknown_load_count * self.mean
 
     def faded(self, server: Server) -> float:
         """What is left of the load that the server was burdened with."""
-        left = FADE - (self.now - server.handicap_at)
-        return server.handicap * left / FADE if left > 0 else 0.0
+        left = FADE_TIME - (self.now - server.fading_since)
+        return server.fading_load * left / FADE_TIME if left > 0 else 0.0
 
     def burden(self, server: Server, load: float) -> None:
         """Adds load that fades: a newcomer's start, or what a reset or failure has taken off the sum."""
         self.candidates.activate(server)
-        server.handicap = load + self.faded(server)
-        server.handicap_at = self.now
+        server.fading_load = load + self.faded(server)
+        server.fading_since = self.now
 
     def join(self, sess: Session, server: Server) -> None:
         self.candidates.activate(server)
         sess.server = server
-        server.joined += 1
-        server.lacking += sess.load is None
-        server.told += sess.load or 0.0
+        server.session_count += 1
+        server.unknown_load_count += sess.load is None
+        server.known_load += sess.load or 0.0
 
     def leave(self, sess: Session) -> None:
         server = sess.server
         if server is None:
             return
-        server.joined -= 1
+        server.session_count -= 1
         if sess.load is None:
-            server.lacking -= 1
-        elif server.joined > server.lacking:
-            server.told = max(server.told - sess.load, 0.0)
+            server.unknown_load_count -= 1
+        elif server.session_count > server.unknown_load_count:
+            server.known_load = max(server.known_load - sess.load, 0.0)
         else:
-            server.told = 0.0  # nothing is left of it, whatever the rounding
+            server.known_load = 0.0  # nothing is left of it, whatever the rounding
         sess.server = None
 
-    def on_load(self, event: LoadTold) -> None:
-        sess = self.sessions.get(event.sess)
-        if sess is None or not self.site.present_load:
+    def on_load(self, event: LoadReported) -> None:
+        sess = self.sessions.get(event.session_id)
+        if sess is None or not self.site.reports_load:
             return
         if sess.load is None:
             self.learn_load(event.load)
@@ -351,42 +365,42 @@
 
     # Sessions
 
-    def on_came(self, event: SessionCame) -> None:
+    def on_came(self, event: SessionArrived) -> None:
         load = None
-        if not self.site.present_load and event.hint is not None:
+        if not self.site.reports_load and event.hint is not None:
             load = event.hint
             self.learn_load(load)
         self.came.append(self.now)
         sess = Session(event.listener, self.now + event.budget, load, event.subject)
-        self.sessions[event.sess] = sess
+        self.sessions[event.session_id] = sess
         if event.mid_flow and event.subject is not None:
             home = self.servers.get(self.homes.get(event.subject, -1))
-            if home is not None and home.state is not State.GONE:
-                self.dial(event.sess, sess, home)
+            if home is not None and home.state is not ServerState.GONE:
+                self.dial(event.session_id, sess, home)
                 return
-        self.place(event.sess, sess)
+        self.place(event.session_id, sess)
 
-    def on_stands(self, event: SessionStands) -> None:
-        load = None if self.site.present_load else event.hint
+    def on_stands(self, event: SessionRestored) -> None:
+        load = None if self.site.reports_load else event.hint
         sess = Session(event.listener, 0, load, event.subject)
         sess.dials = 1
         sess.standing = True
-        self.sessions[event.sess] = sess
+        self.sessions[event.session_id] = sess
         server = self.servers.get(event.server)
         if server is not None:
             self.join(sess, server)
-            server.standing[event.sess] = sess
-            if self.site.passes_through and event.subject is not None:
+            server.open_sessions[event.session_id] = sess
+            if self.site.is_passthrough and event.subject is not None:
                 self.homes[event.subject] = server.index
 
     def on_left(self, event: SessionLeft) -> None:
-        sess = self.sessions.get(event.sess)
+        sess = self.sessions.get(event.session_id)
         if sess is None:
             return
         if sess.server is None:
-            del self.sessions[event.sess]  # no dial is out: it waited for a report
+            del self.sessions[event.session_id]  # no dial is out: it waited for a report
             return
-        sess.server.standing.pop(event.sess, None)
+        sess.server.open_sessions.pop(event.session_id, None)
         self.leave(sess)
         sess.finished = True  # its dial is still out and will end; then the session is let go
 
@@ -394,7 +408,7 @@
         """Dials the best server, or gives the final answer at once when no dial can help."""
         left = sess.deadline - self.now
         if self.storm and (self.setting_up >= self.room or self.now < self.pause_until):
-            self.give_up(index, sess, Reason.PACED)
+            self.give_up(index, sess, Reason.THROTTLED)
             return
         reason = self.why_no_dial(sess, left)
         if reason is None:
@@ -410,7 +424,7 @@
                 else:
                     self.dial(index, sess, server)
                 return
-            reason = Reason.FULL if self.candidates.ready else Reason.NO_SERVER
+            reason = Reason.NO_CAPACITY if self.candidates.ready else Reason.NO_SERVER
             if self.candidates.ready:
                 if self.now - self.crowd_at > LOG_PAUSE:
                     self.log(f"no room: {self.full_share:.2f} of the servers heard of at their cap; refusing")
@@ -420,14 +434,14 @@
     def why_no_dial(self, sess: Session, left: int) -> Reason | None:
         """What forbids one more dial, whatever the servers."""
         if sess.dials >= self.site.max_dials:
-            return Reason.DIALS_USED
+            return Reason.DIALS_EXHAUSTED
         if left <= 2 * self.site.tick:
-            return Reason.TIME_UP
+            return Reason.DEADLINE
         return None if self.may_repeat(sess) else Reason.MAY_HAVE_RUN
 
     def is_unknown(self, server: Server) -> bool:
         """Whether asking could help: no report that tells, and no question just left unanswered."""
-        return self.now > server.told_until and self.now >= server.silent_until
+        return self.now > server.report_valid_until and self.now >= server.silent_until
 
     def ask(self, index: int, server: Server) -> None:
         """Holds the session until the server that it would go to has told its load.
@@ -436,15 +450,15 @@
         balancers times servers.
         """
         self.candidates.activate(server)
-        if not server.asking:
-            server.asked_at = self.now
+        if not server.probe_waiters:
+            server.probed_at = self.now
             self.out.append(Probe(server.index))
-            self.set_timer(Timer.ASK, server.index, self.ask_wait)
-        server.asking.append(index)
+            self.set_timer(Timer.PROBE_TIMEOUT, server.index, self.ask_wait)
+        server.probe_waiters.append(index)
 
     def answer(self, server: Server) -> None:
         """Places the sessions that waited for this server's report, which has come or is overdue."""
-        asking, server.asking = server.asking, []
+        asking, server.probe_waiters = server.probe_waiters, []
         for index in asking:
             sess = self.sessions.get(index)
             if sess is not None:
@@ -455,11 +469,13 @@
         if sess.may_have_run is None:
             return True
         listener = self.site.listeners[sess.listener]
-        if listener.effect is Effect.REPEATABLE:
+        if listener.effect is Effect.IDEMPOTENT:
             return True
-        if listener.effect is Effect.ONCE_ONLY:
+        if listener.effect is Effect.AT_MOST_ONCE:
             return False
-        return self.now + self.site.connect_timeout - sess.ran_at <= listener.memory  # the line goes by then
+        return (
+            self.now + self.site.connect_timeout - sess.ran_at <= listener.dedup_window
+        )  # the line goes by then
 
     def blame(self, sess: Session) -> None:
         for server in sess.erred:
@@ -474,11 +490,11 @@
         listener = self.site.listeners[sess.listener]
         harmless = (
             sess.may_have_run is None
-            or listener.effect is Effect.REPEATABLE
-            or (listener.effect is Effect.REFERENCED and listener.scope is Scope.ALL)
+            or listener.effect is Effect.IDEMPOTENT
+            or (listener.effect is Effect.DEDUPLICATED and listener.dedup_scope is DedupScope.ALL)
         )
         if harmless:
-            most = self.site.come_back_max
+            most = self.site.max_retry_after
             self.out.append(Refuse(index, int(self.uniform(most / 4, most)) if most else 0, reason))
         else:
             self.out.append(TearDown(index, reason))
@@ -496,73 +512,73 @@
         sess.dialled_at = self.now
         sess.tried.append(server.index)
         self.join(sess, server)
-        server.dials_out += 1
+        server.pending_dials += 1
         self.setting_up += 1
-        if server.sick:
+        if server.is_unhealthy:
             server.trial_at = self.trial_time(server)
         if self.is_cold(server) or self.is_gated():
-            server.sent.append((self.now, self.load_of(sess)))
+            server.sent_loads.append((self.now, self.load_of(sess)))
         self.out.append(Dial(index, server.index, max(limit, 1)))
 
-    def on_established(self, event: Established) -> None:
-        sess = self.sessions.get(event.sess)
+    def on_established(self, event: SessionEstablished) -> None:
+        sess = self.sessions.get(event.session_id)
         server = self.servers[event.server]
-        server.dials_out -= 1
+        server.pending_dials -= 1
         self.setting_up -= 1
-        self.set_up_went(server, True, late=event.took > self.late_after)
-        if not self.site.tells_delay:
-            self.judge_set_up(server, event.took)
+        self.set_up_went(server, True, late=event.setup_duration > self.late_after)
+        if not self.site.reports_delay:
+            self.judge_set_up(server, event.setup_duration)
         if not self.is_cold(server):
             own = server.zone == self.site.zone
-            self.nearest[own] = min(event.took, self.nearest.get(own, event.took))
-            self.work.setdefault(server.kind, deque(maxlen=RECENT)).append((own, event.took))
+            self.nearest[own] = min(event.setup_duration, self.nearest.get(own, event.setup_duration))
+            self.work.setdefault(server.kind, deque(maxlen=RECENT_LIMIT)).append((own, event.setup_duration))
         if sess is None:
             return
         self.blame(sess)
         sess.standing = True
         if sess.finished:
             return
-        server.standing[event.sess] = sess
-        if self.site.passes_through and sess.subject is not None:
+        server.open_sessions[event.session_id] = sess
+        if self.site.is_passthrough and sess.subject is not None:
             self.homes[sess.subject] = server.index
 
     def on_dial_ended(self, event: DialEnded) -> None:
         server = self.servers[event.server]
-        if event.pressure is not None:
-            self.take_report(server, event.pressure)
-        sess = self.sessions.get(event.sess)
+        if event.utilization is not None:
+            self.take_report(server, event.utilization)
+        sess = self.sessions.get(event.session_id)
         if sess is None:
             return
         outcome = event.outcome
         lost = self.load_of(sess)
         self.leave(sess)
         if sess.standing:
-            server.standing.pop(event.sess, None)
-            if outcome not in (Outcome.ENDED, Outcome.CANCELLED, Outcome.SENT_AWAY):
+            server.open_sessions.pop(event.session_id, None)
+            if outcome not in (DialOutcome.COMPLETED, DialOutcome.CANCELLED, DialOutcome.MOVED):
                 # Guards against a server that resets its connections and so empties its sum.
                 self.burden(server, lost)
-            if self.site.passes_through and sess.subject is not None:
+            if self.site.is_passthrough and sess.subject is not None:
                 self.homes.pop(sess.subject, None)
         else:
-            server.dials_out -= 1
+            server.pending_dials -= 1
             self.setting_up -= 1
-            if outcome is Outcome.ENDED:
+            if outcome is DialOutcome.COMPLETED:
                 self.set_up_went(server, True)  # answered in one piece, without being established first
-            elif outcome is Outcome.FULL:
+            elif outcome is DialOutcome.REJECTED:
                 server.full_until = self.now + int(self.uniform(self.try_wait / 2, self.try_wait))
-            elif outcome is Outcome.ERROR:
+            elif outcome is DialOutcome.ERROR:
                 sess.erred.append(server)
-            elif outcome not in (Outcome.CANCELLED, Outcome.SENT_AWAY, Outcome.UNSENT):
+            elif outcome not in (DialOutcome.CANCELLED, DialOutcome.MOVED, DialOutcome.NOT_SENT):
                 self.burden(server, lost)
-                self.set_up_went(server, False, outcome is Outcome.UNREACHABLE)
+                self.set_up_went(server, False, outcome is DialOutcome.UNREACHABLE)
         if event.complete or sess.standing or sess.finished:
-            del self.sessions[event.sess]
+            del self.sessions[event.session_id]
             return
-        if outcome not in NEVER_RAN and sess.may_have_run is None:
+        if outcome not in NEVER_EXECUTED and sess.may_have_run is None:
             sess.may_have_run = server
             sess.ran_at = sess.dialled_at
         self.came.append(self.now)
-        self.place(event.sess, sess)
+        self.place(event.session_id, sess)
 
     # The pick
 
@@ -606,14 +622,14 @@
     def prepare(self, sess: Session) -> None:
         """Brings what is idle up to date, and takes out of it what this session can't be sent to alike."""
         candidates = self.candidates
-        candidates.advance(self.now)
+        candidates.advance_stages(self.now)
         if self.now - self.settled_at >= SETTLE_EVERY:
             self.settled_at = self.now
-            candidates.settle(self.now, list(candidates.active.values()))
+            candidates.regroup_idle(self.now, list(candidates.active.values()))
         for index in sess.tried:
             candidates.activate(self.servers[index])
         if self.keeps_to_cell(sess):
-            for server in candidates.in_cell.get(sess.may_have_run.cell, {}).values():
+            for server in candidates.by_cell.get(sess.may_have_run.cell, {}).values():
                 candidates.activate(server)
 
     def split(self, ties: Ties) -> tuple[Ties, Ties]:
@@ -630,10 +646,10 @@
         site = self.site
         granted = [one for one in ties.servers if self.lets_in(one, ahead, ties, sums)]
         for group in ties.groups:
-            group.renew(self.now, site.fall_window, self.uniform)
-            most = self.able_part(max(site.cold_share, 1.0)) * self.sum_of_kind(group.key.kind, sums)
+            group.renew_draws(self.now, site.overload_window, self.uniform)
+            most = self.able_part(max(site.start_capacity, 1.0)) * self.sum_of_kind(group.key.kind, sums)
             chance = 1.0 if most >= ahead else chance_for(most / max(ahead, self.mean), site.replicas)
-            granted += [one for one in group.below(chance) if self.lets_in(one, ahead, ties, sums)]
+            granted += [one for one in group.drawn_below(chance) if self.lets_in(one, ahead, ties, sums)]
         if len(granted) < 2:
             return granted[0] if granted else None
         shares = self.shares_of_kinds(ties)
@@ -660,7 +676,7 @@
         if not (cold or self.is_gated()):
             return True
         share = self.cold_part(server) if cold else BLIND
-        window = self.site.fall_window if cold else BLIND_FOR
+        window = self.site.overload_window if cold else BLIND_FOR
         room = self.room_left(server, share * self.sum_of_kind(server.kind, sums), window)
         return room >= ahead or (room > 0 and self.may_grant(server, room, ahead, window, ties))
 
@@ -684,8 +700,8 @@
         """Less for settled servers while newcomers of their kind lack sessions."""
         pull = self.pull.get(kind_of(part), 1.0)
         if pull < 1.0:
-            stage = part.key.stage if isinstance(part, Group) else self.candidates.stage(part, self.now)
-            pull = pull if stage is Stage.SETTLED else 1.0
+            stage = part.key.stage if isinstance(part, Group) else self.candidates.stage_of(part, self.now)
+            pull = pull if stage is AgeStage.SETTLED else 1.0
         return part.weight * pull
 
     def shares_of_kinds(self, ties: Ties) -> dict[int, float]:
@@ -714,14 +730,14 @@
         self.kinds_at = self.now
         settled: dict[int, Holding] = {}
         young: dict[int, Holding] = {}
-        for group in self.candidates.idle():
-            among = settled if group.key.stage is Stage.SETTLED else young
+        for group in self.candidates.idle_groups():
+            among = settled if group.key.stage is AgeStage.SETTLED else young
             among.setdefault(group.key.kind, Holding()).servers += len(group.members)
         for server in self.candidates.active.values():
-            is_settled = self.candidates.stage(server, self.now) is Stage.SETTLED
+            is_settled = self.candidates.stage_of(server, self.now) is AgeStage.SETTLED
             holding = (settled if is_settled else young).setdefault(server.kind, Holding())
             holding.servers += 1
-            holding.sessions += len(server.standing)
+            holding.sessions += len(server.open_sessions)
         told = settled or young
         count = sum(one.servers for one in told.values())
         usual = (sum(one.sessions for one in told.values()) + 1) / max(count, 1)
@@ -747,14 +763,14 @@
         due = sum(len(each) * usual / carries[kind] for kind, each in excess.items())
         unit = sum(took.values()) / max(due, 1)  # of work, of a kind that carries the usual
         for k, each in excess.items() if unit else ():
-            work = took[k] + SLOW_RUN * unit * usual / carries[k]
-            carries[k] = usual * unit * (len(each) + SLOW_RUN) / work
+            work = took[k] + SETUP_WAITS_LIMIT * unit * usual / carries[k]
+            carries[k] = usual * unit * (len(each) + SETUP_WAITS_LIMIT) / work
 
     def least(self, sess: Session, ahead: float, passed: set[int], spent: bool) -> Ties | None:
         """The servers of the best rank that tie for the smallest sum; `spent`: no idle cold ones."""
         now = self.now
         mean = self.mean
-        home, dear = self.site.zone, self.site.may_probe and self.site.crossing_price > 0
+        home, dear = self.site.zone, self.site.may_probe and self.site.cross_zone_price > 0
         wary = self.wary
         best: list[Server] = []
         best_key = (9, 0.0)
@@ -766,15 +782,15 @@
             rank = 0
             if sess.tried and server.index in sess.tried:
                 rank = 4
-            elif server.sick and (now < server.trial_at or server.dials_out):
+            elif server.is_unhealthy and (now < server.trial_at or server.pending_dials):
                 rank = 3
             elif server.full_until > now or server.silent_until > now:
                 rank = 2
             elif (  # spares calls, as it runs for each server: is_pressed, then what else tells of a cap
                 now <= server.slow_until
-                or (now <= server.told_until and self.load_now(server) >= CAP)
-                or (server.crowded and self.would_crowd(server, ahead))
-                or (wary and not server.standing and self.is_unheard(server))
+                or (now <= server.report_valid_until and self.load_now(server) >= CAP)
+                or (server.slow_loads and self.would_crowd(server, ahead))
+                or (wary and not server.open_sessions and self.is_unheard(server))
             ):
                 rank = 1
             elif dear and server.zone == home:
@@ -782,8 +798,8 @@
                 rank = -1
             if rank > best_key[0]:
                 continue
-            load = server.told + server.lacking * mean
-            if now < server.handicap_at + FADE:
+            load = server.known_load + server.unknown_load_count * mean
+            if now < server.fading_since + FADE_TIME:
                 load += self.faded(server)
             key = (rank, load * self.ease.get(server.kind, 1.0))
             if key < best_key:
@@ -808,26 +824,26 @@
         """The idle servers that this session may be sent to, by groups."""
         if self.keeps_to_cell(sess):
             return []  # those of its cell are active now
-        groups = self.candidates.idle()
+        groups = self.candidates.idle_groups()
         if spent:
             groups = [group for group in groups if not isinstance(group, ColdGroup)]
-        if sess.may_have_run is not None and self.scope_of(sess) is Scope.ZONE:
+        if sess.may_have_run is not None and self.scope_of(sess) is DedupScope.ZONE:
             groups = [group for group in groups if group.key.zone == sess.may_have_run.zone]
         return groups
 
-    def scope_of(self, sess: Session) -> Scope:
+    def scope_of(self, sess: Session) -> DedupScope:
         """Within which servers drop a repeat of this session's line."""
         listener = self.site.listeners[sess.listener]
-        return listener.scope if listener.effect is Effect.REFERENCED else Scope.ALL
+        return listener.dedup_scope if listener.effect is Effect.DEDUPLICATED else DedupScope.ALL
 
     def keeps_to_cell(self, sess: Session) -> bool:
-        return sess.may_have_run is not None and self.scope_of(sess) is Scope.CELL
+        return sess.may_have_run is not None and self.scope_of(sess) is DedupScope.CELL
 
     def drops_repeat(self, sess: Session, server: Server) -> bool:
         ran, scope = sess.may_have_run, self.scope_of(sess)
-        if ran is None or scope is Scope.ALL:
+        if ran is None or scope is DedupScope.ALL:
             return True
-        return server.zone == ran.zone if scope is Scope.ZONE else server.cell == ran.cell
+        return server.zone == ran.zone if scope is DedupScope.ZONE else server.cell == ran.cell
 
     # Cold servers
 
@@ -837,12 +853,12 @@
     def warm_sums(self) -> WarmSums:
         """What the warm servers hold of this balancer's sessions; all servers, where none is warm."""
         candidates = self.candidates
-        candidates.advance(self.now)
-        any_warm = any(group.key.stage is not Stage.COLD for group in candidates.idle())
+        candidates.advance_stages(self.now)
+        any_warm = any(group.key.stage is not AgeStage.COLD for group in candidates.idle_groups())
         any_warm = any_warm or any(not self.is_cold(one) for one in candidates.active.values())
         sums = WarmSums()
-        for group in candidates.idle():
-            if not any_warm or group.key.stage is not Stage.COLD:
+        for group in candidates.idle_groups():
+            if not any_warm or group.key.stage is not AgeStage.COLD:
                 sums.add(group.key.kind, 0.0, len(group.members))
         for server in candidates.active.values():
             if not any_warm or not self.is_cold(server):
@@ -856,12 +872,12 @@
         against cold servers held to what the warm ones happen to carry, far under what they could.
         """
         site = self.site
-        fair = max(site.promised / max(self.most_listed, 1), 1) * self.mean / site.replicas
+        fair = max(site.quota_connections / max(self.most_listed, 1), 1) * self.mean / site.replicas
         mean = sums.mean()
         if not mean:
             return fair
         # Less a session: guards against balancers that hold more than promised by chance, which add up.
-        held = mean - self.mean / sums.servers if site.promised else mean
+        held = mean - self.mean / sums.servers if site.quota_connections else mean
         return max(sums.mean_of(kind) / mean * max(fair, held), self.mean / site.replicas)
 
     def is_gated(self) -> bool:
@@ -870,22 +886,22 @@
         Guards against all balancers crowding in turn whatever server is not yet known to be full. Only where
         the deployment states what servers are to carry: a tenth of a sum of one or two would be nothing.
         """
-        return self.wary and self.site.promised > 0
+        return self.wary and self.site.quota_connections > 0
 
     def cold_part(self, server: Server) -> float:
         """What a cold server may be sent in a window, of what a warm one carries."""
         site = self.site
         age = max(self.now - server.started, 0)
-        return self.able_part(site.cold_share + (1 - site.cold_share) * age / site.warm_after)
+        return self.able_part(site.start_capacity + (1 - site.start_capacity) * age / site.warm_after)
 
     def able_part(self, able: float) -> float:
         """The same, where it can surely do this much of what it can when warm."""
         site = self.site
-        return site.fall_multiple * able * site.fall_window / site.warm_after
+        return site.overload_factor * able * site.overload_window / site.warm_after
 
     def room_left(self, server: Server, budget: float, window: int) -> float:
         """What is left of this balancer's part of what the server may be sent in a window."""
-        sent = server.sent
+        sent = server.sent_loads
         while sent and sent[0][0] <= self.now - window:
             del sent[0]
         return budget - sum(load for _, load in sent)
@@ -896,30 +912,30 @@
         Guards against many balancers that send one dial each and push the server over together. For a warm
         one it is as much higher as less than one dial is likely to ask, as one of these that tie.
         """
-        if self.now >= server.luck_until:
-            server.luck = self.uniform(0, 1)
-            server.luck_until = self.now + window
+        if self.now >= server.draw_valid_until:
+            server.admission_draw = self.uniform(0, 1)
+            server.draw_valid_until = self.now + window
         if self.is_cold(server):
-            return server.luck < chance_for(room / max(ahead, self.mean), self.site.replicas)
+            return server.admission_draw < chance_for(room / max(ahead, self.mean), self.site.replicas)
         due = len(self.came) * window / max(self.now - self.came[0], 1) * self.chance_of(server, ties)
-        return server.luck * self.mean * min(due, 1) < room
+        return server.admission_draw * self.mean * min(due, 1) < room
 
     # Health
 
     def set_up_went(self, server: Server, well: bool, unreachable: bool = False, late: bool = False) -> None:
         if not unreachable:
             self.watch_fleet(server, well and not late, well)
-        recent = server.recent
-        remember(recent, well, RECENT)
+        recent = server.recent_setups
+        append_bounded(recent, well, RECENT_LIMIT)
         if well:
-            if server.sick and (len(recent) < 2 or recent[-2]):
-                server.sick = False
-                server.trials = 0
+            if server.is_unhealthy and (len(recent) < 2 or recent[-2]):
+                server.is_unhealthy = False
+                server.trial_count = 0
                 recent.clear()
                 self.log(f"server {server.index} back, {self.count_sick()} still out")
             return
-        if server.sick:
-            server.trials += 1
+        if server.is_unhealthy:
+            server.trial_count += 1
             server.trial_at = self.trial_time(server)
             return
         if self.storm:
@@ -938,7 +954,7 @@
             return
         self.doubt = False
         self.candidates.activate(server)
-        server.sick = True
+        server.is_unhealthy = True
         server.trial_at = self.trial_time(server)
         self.log(f"server {server.index} out: {failed} of {len(recent)} set-ups failed, {out} out")
 
@@ -966,7 +982,7 @@
             return
         failing = {one.index for one in bad}
         own_zone = self.site.zone
-        seen = not self.candidates.in_zone[own_zone] or any(one.zone == own_zone for one in bad)
+        seen = not self.candidates.zone_counts[own_zone] or any(one.zone == own_zone for one in bad)
         if 3 * len(failing) >= min(len(self.candidates.ready), FLEET_RECENT) and seen:
             self.storm = True
             self.room = 1
@@ -975,29 +991,29 @@
             )
 
     def trial_time(self, server: Server) -> int:
-        wait = TRIAL_WAIT * 2 ** min(server.trials, 2)
+        wait = TRIAL_WAIT * 2 ** min(server.trial_count, 2)
         return self.now + int(self.uniform(0.75 * wait, 1.25 * wait))
 
     def count_sick(self) -> int:
-        return sum(s.sick for s in self.candidates.active.values())
+        return sum(s.is_unhealthy for s in self.candidates.active.values())
 
     def others_well(self, server: Server, zone: int) -> bool:
         """Whether this zone has a server that is not out, beside this one, which is not out yet."""
-        sick = sum(s.sick and s.zone == zone for s in self.candidates.active.values())
+        sick = sum(s.is_unhealthy and s.zone == zone for s in self.candidates.active.values())
         itself = server.zone == zone and server.ready_position >= 0
-        return self.candidates.in_zone[zone] > sick + itself
+        return self.candidates.zone_counts[zone] > sick + itself
 
     def load_now(self, server: Server) -> float:
         """Load over what the server can do as last reported, 0 where no fresh report tells."""
-        if self.now > server.told_until:
+        if self.now > server.report_valid_until:
             return 0.0
         carried = self.own_sum(server)
         others = (self.site.replicas - 1) * self.mean
-        if carried > server.told_at_report and server.told_at_report + others > 0:
+        if carried > server.load_at_report and server.load_at_report + others > 0:
             # Guards against a rush to a server whose late report does not yet show what was sent since. The
             # others are taken to hold one session each there, so that sums of one or two say little.
-            return server.pressure * (carried + others) / (server.told_at_report + others)
-        return server.pressure
+            return server.utilization * (carried + others) / (server.load_at_report + others)
+        return server.utilization
 
     def is_pressed(self, server: Server) -> bool:
         """The load cap: the server says it is nearly full, or its messages are slow."""
@@ -1008,11 +1024,11 @@
 
         Guards against refilling a slow machine as soon as it has recovered, over and over.
         """
-        crowded = server.crowded
-        while crowded and crowded[0][0] < self.now - FADE:
+        crowded = server.slow_loads
+        while crowded and crowded[0][0] < self.now - FADE_TIME:
             del crowded[0]
-            server.most = min((load for _, load in crowded), default=0.0)
-        return bool(crowded) and server.told + ahead > server.most
+            server.slow_load_limit = min((load for _, load in crowded), default=0.0)
+        return bool(crowded) and server.known_load + ahead > server.slow_load_limit
 
     def look_round(self) -> None:
         """Counts the servers with room, and the share at their cap of those heard of, only now and then."""
@@ -1023,10 +1039,10 @@
         self.with_room = self.candidates.count_idle()
         for server in self.candidates.active.values():
             pressed = self.is_pressed(server)
-            if (server.standing or self.now <= server.told_until) and not self.is_stuck(server):
+            if (server.open_sessions or self.now <= server.report_valid_until) and not self.is_stuck(server):
                 heard += 1
                 full += pressed
-            if not pressed and not server.sick and server.full_until <= self.now:
+            if not pressed and not server.is_unhealthy and server.full_until <= self.now:
                 self.with_room += 1
         self.full_share = full / (heard + 1)
 
@@ -1041,14 +1057,14 @@
 
     def is_unheard(self, server: Server) -> bool:
         """Nothing tells how this server does: no own session there, and it is no new one."""
-        return not (server.standing or server.dials_out or self.is_cold(server))
+        return not (server.open_sessions or server.pending_dials or self.is_cold(server))
 
     def is_stuck(self, server: Server) -> bool:
-        return self.now <= server.slow_until and server.delay >= STUCK
+        return self.now <= server.slow_until and server.message_delay >= STUCK
 
     def is_jammed(self, server: Server) -> bool:
         """So far past its cap that its sessions are served badly whatever else happens."""
-        slow = self.now <= server.slow_until and server.delay > self.shortest_aim
+        slow = self.now <= server.slow_until and server.message_delay > self.shortest_aim
         return slow or self.load_now(server) >= 1
 
     def judge_set_up(self, server: Server, took: int) -> None:
@@ -1057,33 +1073,33 @@
         What the last few took beyond the quickest in that zone, less the usual, counts as a message's delay.
         """
         quickest = self.quickest[server.zone] = min(took, self.quickest.get(server.zone, took))
-        remember(server.waits, took - quickest, SLOW_RUN)
+        append_bounded(server.setup_waits, took - quickest, SETUP_WAITS_LIMIT)
         self.waits.append(took - quickest)
-        if len(server.waits) == SLOW_RUN:
+        if len(server.setup_waits) == SETUP_WAITS_LIMIT:
             usual = sorted(self.waits)[len(self.waits) // 2]
-            self.take_delay(server, sum(server.waits) // SLOW_RUN - usual)
+            self.take_delay(server, sum(server.setup_waits) // SETUP_WAITS_LIMIT - usual)
 
-    def on_delay(self, event: DelayTold) -> None:
+    def on_delay(self, event: DelayReported) -> None:
         self.take_delay(self.servers[event.server], event.delay)
 
     def take_delay(self, server: Server, delay: int) -> None:
         self.candidates.activate(server)
-        server.delay = delay if 3 * delay > self.shortest_aim else 0
-        server.slow_until = self.now + NOTE_LIFE if server.delay else -1
-        if server.delay:
+        server.message_delay = delay if 3 * delay > self.shortest_aim else 0
+        server.slow_until = self.now + NOTE_LIFE if server.message_delay else -1
+        if server.message_delay:
             self.look_round()
             if self.with_room and not self.is_stuck(server):
                 # With all of them slow, or where it hangs, it is not this sum that makes it slow.
-                remember(server.crowded, (self.now, HEADROOM * server.told), CROWDED)
-                server.most = min(load for _, load in server.crowded)
+                append_bounded(server.slow_loads, (self.now, HEADROOM * server.known_load), SLOW_LOADS_LIMIT)
+                server.slow_load_limit = min(load for _, load in server.slow_loads)
         if delay <= self.shortest_aim:
-            server.over = 0
+            server.slow_streak = 0
             return
         # A message waits for the work piled up before it: what was sent in that time has to go elsewhere for
         # the pile to be worked off in a second. The share also grows with each further note past the aim: a
         # heavy session that fits no small share must go too.
-        server.over += 1
-        share = max(min(SHARE_STEP * (1 + server.over), MOST_MOVED), min(delay / SECOND, 1))
+        server.slow_streak += 1
+        share = max(min(SHARE_STEP * (1 + server.slow_streak), MOST_MOVED), min(delay / SECOND, 1))
         self.relieve(server, share, SECOND // 2)
 
     def relieve(self, server: Server, share: float, pause: int) -> None:
@@ -1099,7 +1115,9 @@
             share = min(share, 2 * SHARE_STEP)
         surplus = room = share * self.own_sum(server)
         # The heaviest that fit come first and light ones stay: few moves, each worth its price.
-        order = sorted(server.standing.items(), key=lambda item: self.move_order(item[1], room_elsewhere))
+        order = sorted(
+            server.open_sessions.items(), key=lambda item: self.move_order(item[1], room_elsewhere)
+        )
         least = max(surplus / 20, self.mean / 2)
         moved = 0
         for index, sess in order:
@@ -1121,7 +1139,8 @@
             if self.now - server.relieved_at > LOG_PAUSE:
                 self.log(
                     f"server {server.index} past its cap: load {self.load_now(server):.2f}, message "
-                    f"{server.delay / 10:.0f} ms; moving, {moved} of {len(server.standing)} first"
+                    f"{server.message_delay / 10:.0f} ms; "
+                    f"moving, {moved} of {len(server.open_sessions)} first"
                 )
             server.relieved_at = self.now
 
@@ -1130,30 +1149,30 @@
         utility = 0.0 if room_elsewhere else self.site.listeners[sess.listener].utility
         return utility, -self.load_of(sess)
 
-    def on_probed(self, event: Probed) -> None:
-        if event.answered and event.pressure is not None:
+    def on_probed(self, event: ProbeEnded) -> None:
+        if event.answered and event.utilization is not None:
             server = self.servers[event.server]
-            self.take_report(server, event.pressure)
+            self.take_report(server, event.utilization)
             server.silent_until = 0
             self.answer(server)
 
     def take_report(self, server: Server, pressure: float) -> None:
         self.candidates.activate(server)
-        server.pressure = pressure
+        server.utilization = pressure
         # An old report tells only what is far from the cap.
-        server.told_until = self.now + int(min(REPORT_LIFE, abs(pressure - CAP) / DRIFT))
-        server.told_at_report = server.told
+        server.report_valid_until = self.now + int(min(REPORT_LIFE, abs(pressure - CAP) / DRIFT))
+        server.load_at_report = server.known_load
         if pressure >= RELIEF_FROM:
             self.relieve(server, (pressure - RELIEF_TO) / pressure, RELIEF_PAUSE)
 
     # Timers
 
-    def on_timer(self, event: TimerDue) -> None:
-        if event.timer is Timer.LIST:
-            self.out.append(FollowList())
-        elif event.timer is Timer.ASK:
+    def on_timer(self, event: TimerFired) -> None:
+        if event.timer is Timer.LIST_REQUEST:
+            self.out.append(RequestList())
+        elif event.timer is Timer.PROBE_TIMEOUT:
             server = self.servers[event.index]
-            if server.asking and self.now - server.asked_at >= self.ask_wait:
+            if server.probe_waiters and self.now - server.probed_at >= self.ask_wait:
                 # Guards against waiting for a server out of reach; it is passed over while others answer.
                 self.candidates.activate(server)
                 server.silent_until = self.now + REPORT_LIFE
--- a/thymedeck/stated.py
+++ b/thymedeck/settings.py
@@ -5,17 +5,21 @@
 
 from msgspec import Struct, field
 
-from . import interface as own
+from . import interface
 
 EFFECTS = {
-    "pure": own.Effect.REPEATABLE,
-    "token": own.Effect.REFERENCED,
-    "side_effect": own.Effect.ONCE_ONLY,
+    "pure": interface.Effect.IDEMPOTENT,
+    "token": interface.Effect.DEDUPLICATED,
+    "side_effect": interface.Effect.AT_MOST_ONCE,
 }
-SCOPES = {"all": own.Scope.ALL, "zone": own.Scope.ZONE, "cell": own.Scope.CELL}
-NO_AIM = 10_000_000.0
-LEAST_WEIGHT = 1e-6
-LEAST_GRACE = 1_000  # calls for the list are paced by parts of it
+SCOPES = {
+    "all": interface.DedupScope.ALL,
+    "zone": interface.DedupScope.ZONE,
+    "cell": interface.DedupScope.CELL,
+}
+NO_MESSAGE_AIM = 10_000_000.0
+MIN_WEIGHT = 1e-6
+MIN_DRAIN_GRACE = 1_000  # calls for the list are paced by parts of it
 
 
 class Listener(Struct):
@@ -62,7 +66,7 @@
     cross_zone: float = 0.0
 
 
-class Env(Struct):
+class Settings(Struct):
     listeners: list[Listener]
     limits: Limits
     contract: Contract
@@ -77,49 +81,49 @@
     kinds: list[str] = []
 
 
-def down(us: float) -> int:
+def floor_ticks(us: float) -> int:
     return int(us // 100)
 
 
-def up(us: float) -> int:
+def ceil_ticks(us: float) -> int:
     return int(-(-us // 100))
 
 
-def deployment(env: Env) -> own.Deployment:
+def deployment_from(env: Settings) -> interface.Deployment:
     aims = env.extra.message_aim_us
     listeners = tuple(
-        own.Listener(
-            handshake_target=down(li.handshake_target_us),
-            dial_timeout=down(li.deadline_us),
+        interface.Listener(
+            handshake_target=floor_ticks(li.handshake_target_us),
+            dial_timeout=floor_ticks(li.deadline_us),
             # An effect or a scope that is not known is taken for the strictest.
-            effect=EFFECTS.get(li.effect, own.Effect.ONCE_ONLY),
-            scope=SCOPES.get(li.dedup_scope, own.Scope.CELL),
-            memory=down(li.memory_span_us),
+            effect=EFFECTS.get(li.effect, interface.Effect.AT_MOST_ONCE),
+            dedup_scope=SCOPES.get(li.dedup_scope, interface.DedupScope.CELL),
+            dedup_window=floor_ticks(li.memory_span_us),
             utility=li.utility,
-            message_aim=down(aims[at] if at < len(aims) else NO_AIM),
+            message_aim=floor_ticks(aims[at] if at < len(aims) else NO_MESSAGE_AIM),
         )
         for at, li in enumerate(env.listeners)
     )
     limits, contract = env.limits, env.contract
-    return own.Deployment(
+    return interface.Deployment(
         listeners=listeners,
         zone=env.zone,
         replicas=max(env.replicas_of_me, 1),
-        tick=up(env.tick_us),
-        connect_timeout=up(limits.dial_timeout_us),
+        tick=ceil_ticks(env.tick_us),
+        connect_timeout=ceil_ticks(limits.dial_timeout_us),
         max_dials=limits.max_dials,
         may_probe=limits.probes and "x0" in env.report.fields,
-        come_back_max=down(limits.max_retry_after_us) if limits.retry_after else 0,
+        max_retry_after=floor_ticks(limits.max_retry_after_us) if limits.retry_after else 0,
         list_on_request=env.discovery == "on_request",
-        ask_within=down(contract.ask_within_us),
-        cold_share=contract.start_capacity,
-        warm_after=up(contract.warm_after_us),
-        fall_multiple=contract.overload_factor,
-        fall_window=up(contract.overload_for_us),
-        present_load=env.extra.tells_load,
-        tells_delay=env.extra.tells_delay,
-        passes_through=env.extra.mode == "pass",
-        crossing_price=env.prices.cross_zone,
-        drain_grace=max(down(contract.drain_grace_us), LEAST_GRACE),
-        promised=sum(env.extra.tenant_quota_connections),
+        list_poll_within=floor_ticks(contract.ask_within_us),
+        start_capacity=contract.start_capacity,
+        warm_after=ceil_ticks(contract.warm_after_us),
+        overload_factor=contract.overload_factor,
+        overload_window=ceil_ticks(contract.overload_for_us),
+        reports_load=env.extra.tells_load,
+        reports_delay=env.extra.tells_delay,
+        is_passthrough=env.extra.mode == "pass",
+        cross_zone_price=env.prices.cross_zone,
+        drain_grace=max(floor_ticks(contract.drain_grace_us), MIN_DRAIN_GRACE),
+        quota_connections=sum(env.extra.tenant_quota_connections),
     )
--- a/thymedeck/wire.py
+++ b/thymedeck/wire.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from .stated import Env
+from .settings import Settings
 
 NOTE_LOAD = 1
 NOTE_DELAY = 2
@@ -21,7 +21,7 @@
 class Provision(Struct, tag_field="t", tag="PROVISION"):
     i: int
     rng_seed: int
-    env: Env
+    env: Settings
 
 
 class Kill(Struct, tag_field="t", tag="KILL"):
