--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,7 +1,7 @@
 """Plays a crossing: the program's own Service on real loopback sockets, its loop turned by hand.
 
 Nothing happens between two steps: the program's clock stands unless a step moves it, and what a peer does is
-known to have arrived before the loop turns again. Steps are those of NetPlay, and:
+known to have arrived before the loop turns again. Steps are those of SocketScenario, and:
 
     client N knocks          connects, and waits to be taken in; `connects` and `opens` turn until it is
     client N arrives         what that client did (bytes, an end, a reset) waits to be read by the program
@@ -48,7 +48,7 @@
 from thymedeck.net.system import System
 from thymedeck.net.told import read_start
 
-from .helpers import PATIENCE, NetPlay, Peer, fnmatch
+from .helpers import STEP_TIMEOUT_SECONDS, LineConnection, SocketScenario, fnmatch
 
 STUFF = b"x" * 98 + b"\r\n"
 STEP = 10  # milliseconds, of `passes`
@@ -96,26 +96,26 @@
         return lambda line: self.lines.append(line.decode().rstrip()) or len(line)
 
 
-class StepPeer(Peer):
+class SteppedConnection(LineConnection):
     def __init__(self, sock: socket.socket, pump: Callable[[Callable[[], object], str], None]) -> None:
         super().__init__(sock)
         self.pump = pump
 
-    def line(self) -> str:
-        while b"\r\n" not in self.held:
-            self.pump(lambda: select.select([self.sock], [], [], 0)[0], f"nothing came, held {self.held!r}")
+    def read_line(self) -> str:
+        while b"\r\n" not in self.buffer:
+            self.pump(lambda: select.select([self.sock], [], [], 0)[0], f"nothing came, held {self.buffer!r}")
             try:
                 got = self.sock.recv(65536)
             except ConnectionError:
                 return "reset"
             if not got:
-                return "end" if not self.held else f"end after {self.held!r}"
-            self.held += got
-        line, _, self.held = self.held.partition(b"\r\n")
+                return "end" if not self.buffer else f"end after {self.buffer!r}"
+            self.buffer += got
+        line, _, self.buffer = self.buffer.partition(b"\r\n")
         return line.decode()
 
 
-class Crossing(NetPlay):
+class Crossing(SocketScenario):
     def __init__(self, path: Path) -> None:
         super().__init__(path)
         self.system = StoodClock()
@@ -132,7 +132,7 @@
         self.service.loop.turn()
 
     def pump(self, is_so: Callable[[], object], else_say: str) -> None:
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + STEP_TIMEOUT_SECONDS
         while not is_so():
             assert time.monotonic() < until, else_say
             self.turn()
@@ -156,7 +156,7 @@
         def stood(one: Connection) -> None:
             Connection.read = plain
             kind, *words = step.split(maxsplit=2)
-            self.step(kind, words)
+            self.run_step(kind, words)
             self.on_later(span)
             plain(one)
 
@@ -168,7 +168,7 @@
         self.service.loop.selector.first = first
 
     def on_full(self, what: str) -> None:
-        door = self.discovery if what == "list" else self.doors[what]
+        door = self.discovery if what == "list" else self.server_sockets[what]
         door.listen(0)
         while True:
             sock = socket.socket()
@@ -179,12 +179,12 @@
                 return
 
     def arrived(self, end: Connection) -> None:
-        assert select.select([end.sock], [], [], PATIENCE)[0], "it does not arrive"
+        assert select.select([end.sock], [], [], STEP_TIMEOUT_SECONDS)[0], "it does not arrive"
 
     # The program
 
-    def told(self) -> str:
-        told = json.loads(super().told())
+    def configuration_text(self) -> str:
+        told = json.loads(super().configuration_text())
         if self.descriptors:
             told["limits"] = {"sockets": self.descriptors}
         if self.known is None:
@@ -198,8 +198,8 @@
         self.settings = json.loads((self.path.parents[1] / "settings" / f"{name}.json").read_text())
 
     def on_start(self) -> None:
-        self.file.write_text(self.told())
-        self.service = Service(read_start(str(self.file)), self.system)
+        self.configuration_path.write_text(self.configuration_text())
+        self.service = Service(read_start(str(self.configuration_path)), self.system)
         self.service.loop.running = True
         self.service.open()
         self.address = self.service.door.sock.getsockname()
@@ -210,8 +210,8 @@
     def on_reload(self, what: str) -> None:
         if what != "same":
             self.discovery = self.listen()
-            self.calls = []
-        self.file.write_text(self.told())
+            self.list_calls = []
+        self.configuration_path.write_text(self.configuration_text())
         self.service.reload()
 
     def on_breaks(self, name: str) -> None:
@@ -267,7 +267,7 @@
     # Peers
 
     def connect(self) -> socket.socket:
-        return socket.create_connection(self.address[:2], timeout=PATIENCE)
+        return socket.create_connection(self.address[:2], timeout=STEP_TIMEOUT_SECONDS)
 
     def taken_in(self, sock: socket.socket) -> Connection | None:
         for key in self.service.loop.selector.get_map().values():
@@ -286,12 +286,12 @@
     def on_client(self, name: str, rest: str) -> None:
         verb, _, text = rest.partition(" ")
         if verb in ("opens", "connects", "knocks"):
-            peer = self.clients[name] = StepPeer(self.connect(), self.pump)
+            peer = self.clients[name] = SteppedConnection(self.connect(), self.pump)
             if verb != "knocks":
                 self.pump(lambda: self.taken_in(peer.sock), "it is not taken in")
                 self.ends[id(peer)] = self.taken_in(peer.sock)
             if verb == "opens":
-                peer.act("says", f"OPEN id{name} key{name} {text}")
+                peer.perform("says", f"OPEN id{name} key{name} {text}")
         elif verb == "arrives":
             self.arrived(self.ends[id(self.clients[name])])
         elif verb == "drains":
@@ -300,18 +300,18 @@
             self.drain(self.clients[name], server)
             server.setblocking(True)
         else:
-            self.clients[name].act(verb, text)
+            self.clients[name].perform(verb, text)
 
     def on_server(self, name: str, rest: str) -> None:
         verb, _, text = rest.partition(" ")
         if verb in ("dialled", "accepts"):
-            doors = [door for at, door in self.doors.items() if not text or at == text]
+            doors = [door for at, door in self.server_sockets.items() if not text or at == text]
             self.pump(lambda: select.select(doors, [], [], 0)[0], "no dial")
             sock = select.select(doors, [], [], 0)[0][0].accept()[0]
-            peer = self.dials[name] = StepPeer(sock, self.pump)
+            peer = self.dials[name] = SteppedConnection(sock, self.pump)
             self.ends[id(peer)] = self.taken_in(sock)
         if verb in ("dialled", "reads"):
-            line = self.dials[name].line()
+            line = self.dials[name].read_line()
             of = text if verb == "reads" else name
             assert line.startswith(f"OPEN id{of} key{of} "), line
             self.figures = line.split()[3]
@@ -333,7 +333,7 @@
             self.left = self.left[: len(self.left) % len(STUFF)]  # no more than the rest of this line
             self.dials[name].sock.setblocking(True)
         elif verb != "accepts":
-            self.dials[name].act(verb, text)
+            self.dials[name].perform(verb, text)
 
     def on_held(self, count: str) -> None:
         held = self.service.balancer.sessions
@@ -348,7 +348,7 @@
         assert self.service.loop.free >= int(count), self.service.loop.free
 
     def on_nothing(self, _: str, at: str = "") -> None:
-        doors = [door for name, door in self.doors.items() if at in ("", name)]
+        doors = [door for name, door in self.server_sockets.items() if at in ("", name)]
         assert not select.select(doors, [], [], 0)[0], "a dial waits"
 
     def stuff(self, sock: socket.socket) -> int:
@@ -359,7 +359,7 @@
         self.left = self.left[sent:]
         return sent
 
-    def drain(self, client: StepPeer, server: socket.socket) -> None:
+    def drain(self, client: SteppedConnection, server: socket.socket) -> None:
         """Reads what was stuffed, up to another line, or until nothing more of it comes."""
         idle = 0
         while idle < 20:
@@ -369,8 +369,8 @@
             idle += 1
             if select.select([client.sock], [], [], 0)[0]:
                 got = client.sock.recv(1 << 20)
-                client.held = (client.held + got).replace(STUFF, b"")
-                idle = idle if b"\n" in client.held or not got else 0
+                client.buffer = (client.buffer + got).replace(STUFF, b"")
+                idle = idle if b"\n" in client.buffer or not got else 0
 
     # The list
 
@@ -380,13 +380,15 @@
         elif verb == "indents":
             version, _, *rows = text.split()
             entries = [self.entry(*row.split(":")) for row in rows]
-            self.reply("200 OK", json.dumps({"version": int(version), "servers": entries}, indent=9_000))
+            self.reply_to_list_call(
+                "200 OK", json.dumps({"version": int(version), "servers": entries}, indent=9_000)
+            )
         elif verb == "nests":
-            self.reply("200 OK", '{"version": ' + text + ', "more": ' + "[" * 100_000)
+            self.reply_to_list_call("200 OK", '{"version": ' + text + ', "more": ' + "[" * 100_000)
         elif verb == "floods":
             head, _, count = text.rpartition(" ")
             self.left = head.encode().decode("unicode_escape").encode() + b"x" * int(count)
-            self.flood(self.calls[-1].sock)
+            self.flood(self.list_calls[-1].sock)
         elif verb == "comes":
             for _ in range(0, int(text), STEP):
                 if self.call_waits():
@@ -409,13 +411,13 @@
 
     def call_waits(self) -> bool:
         """On a new connection or on the one that is kept."""
-        kept = [call.sock for call in self.calls[-1:] if call.sock.fileno() >= 0]
+        kept = [call.sock for call in self.list_calls[-1:] if call.sock.fileno() >= 0]
         found = select.select([self.discovery, *kept], [], [], 0)[0]
         return any(sock is self.discovery or sock.recv(1, socket.MSG_PEEK) for sock in found)
 
-    def take_call(self) -> None:
+    def accept_list_call(self) -> None:
         self.pump(lambda: select.select([self.discovery], [], [], 0)[0], "no call")
-        self.calls.append(StepPeer(self.discovery.accept()[0], self.pump))
+        self.list_calls.append(SteppedConnection(self.discovery.accept()[0], self.pump))
 
     # The log
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,16 +1,18 @@
-"""Plays a scenario: a text file of what happens to one balancer, and of what it must or must not do.
+"""Players for scenario files: text files of events and of the actions that are expected of one balancer.
+
+`PolicyScenario` plays these lines on the decision module alone:
 
     set KEY=VALUE ...        before the first event: changes the deployment (listener keys apply to all)
-    T list KIND S:STATE ...  the list of servers; more after a further colon: z1 zone, c2 cell, b50 started,
+    T list KIND S:STATE ...  the server list; after further colons: z1 zone, c2 cell, b50 start time,
                              w9 weight, k1 kind of machine
     T EVENT ...              came N [budget=] [hint=], stands N on S, up N [TOOK], load N X,
                              ended N OUTCOME [done], delay N MS, probed S X, left N
-    expect ACTION ...        this alone came out of the last event (timers and logs left out)
-    expect none              nothing came out but timers and logs
-    expect any ACTION        among what came out there is one of this kind
-    expect no ACTION         among what came out there is none such
-    expect seen ACTION       there was one of this kind since the start
-    repeat COUNT             plays the lines up to `end` so often, {} standing for the round
+    expect ACTION ...        the only action of the last event (timers and logs are ignored)
+    expect none              the last event had no action except timers and logs
+    expect any ACTION        one of the actions of the last event matches
+    expect no ACTION         none of the actions of the last event matches
+    expect seen ACTION       an action since the start matches
+    repeat COUNT             plays the lines up to `end` COUNT times; {} is replaced by the round number
 T is in tenths of a millisecond. `N` names a session, `S` a server; `dial N S` may say `dial N *`.
 """
 
@@ -40,13 +42,13 @@
 LISTENER = interface.Listener(
     3000, 12000, interface.Effect.IDEMPOTENT, interface.DedupScope.ALL, 50000, 1.0, 500
 )
-SITE = interface.Deployment(
+DEPLOYMENT = interface.Deployment(
     listeners=(LISTENER,), zone=0, replicas=3, tick=20, connect_timeout=1500, max_dials=4, may_probe=False,
     max_retry_after=0, list_on_request=False, list_poll_within=100000, start_capacity=0.3, warm_after=88000,
     overload_factor=2.5, overload_window=20000, reports_load=True, reports_delay=True, is_passthrough=False,
     cross_zone_price=0.0, drain_grace=20000, quota_connections=0.0,
 )  # fmt: skip
-SHOWN = (
+CHECKED_ACTIONS = (
     interface.Dial,
     interface.Refuse,
     interface.TearDown,
@@ -56,33 +58,33 @@
 )
 
 
-def value(text: str) -> object:
+def parse_value(text: str) -> object:
     for kind in (interface.Effect, interface.DedupScope):
         if text in kind.__members__:
             return kind[text]
     return float(text) if "." in text else int(text)
 
 
-def service_for_lists() -> Service:
-    """As far as it takes in lists; notes what it logs (`logged`) and tells the decisions (`told`)."""
+def list_only_service() -> Service:
+    """A service that can only process server lists; it records what it logs and tells the policy."""
     service = object.__new__(Service)
     service.server_index, service.servers, service.untold, service.since_unix = {}, [], {}, 5
     service.zones, service.kinds = {"z": 0}, {"big": 0}
-    service.logged = []
-    service.log = lambda event, **_: service.logged.append(event)
-    service.told = []
-    service.tell = service.told.append
+    service.logged_events = []
+    service.log = lambda event, **_: service.logged_events.append(event)
+    service.policy_events = []
+    service.tell = service.policy_events.append
     return service
 
 
-class Play:
+class PolicyScenario:
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.site = SITE
+        self.deployment = DEPLOYMENT
         self.balancer: Balancer | None = None
-        self.out: list[interface.Action] = []
-        self.seen: list[list[str]] = []
-        self.at: dict[int, int] = {}
+        self.last_actions: list[interface.Action] = []
+        self.all_actions: list[list[str]] = []
+        self.server_of: dict[int, int] = {}
 
     def run(self) -> None:
         lines = [line.split("#")[0].split() for line in self.path.read_text().splitlines()]
@@ -92,28 +94,28 @@
                 end = lines.index(["end"], at)
                 for count in range(int(lines[at][1])):
                     for line in lines[at + 1 : end]:
-                        self.line([word.replace("{}", str(count)) for word in line])
+                        self.play_line([word.replace("{}", str(count)) for word in line])
                 at = end
             elif lines[at]:
-                self.line(lines[at])
+                self.play_line(lines[at])
             at += 1
 
-    def line(self, words: list[str]) -> None:
+    def play_line(self, words: list[str]) -> None:
         if words[0] == "set":
-            given = {key: value(text) for key, text in (word.split("=") for word in words[1:])}
+            given = {key: parse_value(text) for key, text in (word.split("=") for word in words[1:])}
             inner = {k: v for k, v in given.items() if k in interface.Listener.__slots__}
             outer = {k: v for k, v in given.items() if k not in inner}
-            self.site = replace(self.site, listeners=(replace(LISTENER, **inner),), **outer)
+            self.deployment = replace(self.deployment, listeners=(replace(LISTENER, **inner),), **outer)
         elif words[0] == "expect":
             self.expect(words[1:])
         else:
             if self.balancer is None:
-                self.balancer = Balancer(7, self.site)
-            self.out = self.balancer.handle(int(words[0]), self.event(words[1], words[2:]))
-            for action in self.out:
-                self.seen.append(self.spell(action))
+                self.balancer = Balancer(7, self.deployment)
+            self.last_actions = self.balancer.handle(int(words[0]), self.event(words[1], words[2:]))
+            for action in self.last_actions:
+                self.all_actions.append(self.describe(action))
                 if isinstance(action, interface.Dial):
-                    self.at[action.session_id] = action.server
+                    self.server_of[action.session_id] = action.server
 
     def event(self, kind: str, words: list[str]) -> interface.Event:
         if kind == "list":
@@ -124,28 +126,28 @@
             return interface.ProbeEnded(int(words[0]), True, float(words[1]))
         if kind == "timer":
             return interface.TimerFired(interface.Timer[words[0]], int(words[1]))
-        sess = int(words[0])
+        session_id = int(words[0])
         options = dict(word.split("=") for word in words[1:] if "=" in word)
         if kind == "came":
             subject, hint = options.get("subject"), options.get("hint")
             budget, flow = int(options.get("budget", 12000)), "mid_flow" in words
             return interface.SessionArrived(
-                sess, 0, budget, None if hint is None else float(hint), subject, flow
+                session_id, 0, budget, None if hint is None else float(hint), subject, flow
             )
         if kind == "stands":
-            self.at[sess] = int(words[2])
-            return interface.SessionRestored(sess, 0, None, options.get("subject"), int(words[2]))
+            self.server_of[session_id] = int(words[2])
+            return interface.SessionRestored(session_id, 0, None, options.get("subject"), int(words[2]))
         if kind == "left":
-            return interface.SessionLeft(sess)
+            return interface.SessionLeft(session_id)
         if kind == "load":
-            return interface.LoadReported(sess, float(words[1]))
-        server = self.at[sess]
+            return interface.LoadReported(session_id, float(words[1]))
+        server = self.server_of[session_id]
         if kind == "up":
-            return interface.SessionEstablished(sess, server, int(words[1]) if words[1:] else 100)
+            return interface.SessionEstablished(session_id, server, int(words[1]) if words[1:] else 100)
         if kind == "delay":
-            return interface.DelayReported(sess, server, int(float(words[1]) * 10))
+            return interface.DelayReported(session_id, server, int(float(words[1]) * 10))
         assert kind == "ended", f"{self.path.name}: no event {kind}"
-        return interface.DialEnded(sess, server, interface.DialOutcome[words[1]], "done" in words, None)
+        return interface.DialEnded(session_id, server, interface.DialOutcome[words[1]], "done" in words, None)
 
     def entry(self, word: str) -> interface.ServerEntry:
         index, state, *more = word.split(":")
@@ -157,9 +159,9 @@
         )
 
     def expect(self, words: list[str]) -> None:
-        shown = [self.spell(action) for action in self.out if isinstance(action, SHOWN)]
+        shown = [self.describe(action) for action in self.last_actions if isinstance(action, CHECKED_ACTIONS)]
         where = f"{self.path.name}: expected {' '.join(words)}, came {shown}"
-        among = self.seen if words[0] == "seen" else shown
+        among = self.all_actions if words[0] == "seen" else shown
         found = any(one[: len(words) - 1] == words[1:] for one in among)
         if words == ["none"]:
             assert not shown, where
@@ -172,7 +174,7 @@
             assert all(want in (got, "*") for want, got in zip(words, shown[0], strict=False)), where
 
     @staticmethod
-    def spell(action: interface.Action) -> list[str]:
+    def describe(action: interface.Action) -> list[str]:
         name = {"Dial": "dial", "Refuse": "refuse", "TearDown": "teardown", "Move": "move"}
         kind = type(action).__name__
         numbers = [getattr(action, slot) for slot in action.__struct_fields__]
@@ -193,44 +195,44 @@
     },
     "discovery": "on_request", "tick_us": 2000, "extra": {"message_aim_us": [50000], "tells_load": True},
 }  # fmt: skip
-PATIENCE = 9.0  # seconds that a step waits for what it expects
+STEP_TIMEOUT_SECONDS = 9.0  # how long a step waits for what it expects
 
 
-class Peer:
-    """A stand-in's end of a connection."""
+class LineConnection:
+    """A test client's or stand-in server's end of a connection."""
 
     def __init__(self, sock: socket.socket) -> None:
-        sock.settimeout(PATIENCE)
+        sock.settimeout(STEP_TIMEOUT_SECONDS)
         self.sock = sock
-        self.held = b""
+        self.buffer = b""
 
-    def line(self) -> str:
-        """The next line, or `end` or `reset`."""
+    def read_line(self) -> str:
+        """Returns the next line, or `end` or `reset`."""
         try:
-            while b"\r\n" not in self.held:
+            while b"\r\n" not in self.buffer:
                 got = self.sock.recv(65536)
                 if not got:
-                    return "end" if not self.held else f"end after {self.held!r}"
-                self.held += got
+                    return "end" if not self.buffer else f"end after {self.buffer!r}"
+                self.buffer += got
         except ConnectionError:
             return "reset"
-        line, _, self.held = self.held.partition(b"\r\n")
+        line, _, self.buffer = self.buffer.partition(b"\r\n")
         return line.decode()
 
-    def exactly(self, count: int) -> bytes:
-        while len(self.held) < count:
+    def read_exactly(self, count: int) -> bytes:
+        while len(self.buffer) < count:
             got = self.sock.recv(65536)
             assert got, "ended"
-            self.held += got
-        taken, self.held = self.held[:count], self.held[count:]
+            self.buffer += got
+        taken, self.buffer = self.buffer[:count], self.buffer[count:]
         return taken
 
-    def act(self, verb: str, text: str) -> None:
+    def perform(self, verb: str, text: str) -> None:
         if verb in ("says", "sends"):
             end = b"\r\n" if verb == "says" else b""
             self.sock.sendall(text.encode().decode("unicode_escape").encode() + end)
         elif verb == "gets":
-            got = self.line()
+            got = self.read_line()
             assert fnmatch(got, text), f"expected {text!r}, got {got!r}"
         elif verb == "floods":
             self.sock.sendall(b"x" * int(text))
@@ -245,54 +247,54 @@
             raise AssertionError(f"no step {verb}")
 
 
-class NetPlay:
-    """Plays a scenario on loopback sockets against the program itself.
+class SocketScenario:
+    """Plays a scenario on loopback sockets against the program in a process of its own.
 
-    known A B:DRAINING C!    the servers known at the start; `!` marks one that refuses connections
+    known A B:DRAINING C!    the servers in the configuration; `!` marks one that refuses connections
     set KEY=VALUE ...        before `start`: changes the deployment (keys of any of its parts)
-    descriptors N            before `start`: so many may the program hold
-    crowd N                  so many clients connect and say nothing
-    crowd floods N           they send N bytes without an end, as far as it is taken, and read nothing
-    crowd gone               each of them is answered or ended
-    reload NAME              the file is replaced (new discovery, or `spoiled`), and SIGHUP comes thrice
+    descriptors N            before `start`: limits the file descriptors of the program
+    crowd N                  N clients connect and send nothing
+    crowd floods N           they send N bytes without a line end, as far as accepted, and read nothing
+    crowd gone               each of them has been answered or closed
+    reload NAME              replaces the configuration (new discovery, or `spoiled`), sends SIGHUP thrice
     start                    starts the program and waits until it answers PING
     client N opens FIGURES   connects and sends OPEN; `client N connects` only connects
     client N VERB TEXT       says a line, sends bytes, gets a line (a pattern), `end` or `reset`; ends,
                              closes, resets
-    server N dialled [A]     the next dial comes, for the session of client N (at server A)
+    server N dialled [A]     accepts the next dial (at server A), for the session of client N
     server N VERB TEXT       the same verbs on the connection of that dial
-    server N fills COUNT     writes so many bytes, which the client reads unchanged
-    figures PATTERN          what the line of the last dial told
-    list asked PATTERN       discovery hears a call for this path
+    server N fills COUNT     writes COUNT bytes, which the client reads unchanged
+    figures PATTERN          matches the last word of the OPEN line of the last dial
+    list asked PATTERN       the list service receives a request for this path
     list says N KIND A:STATE answers with version N, `changes` or `whole`; `list answers STATUS BODY`,
                              `list resets`
-    log PATTERN              the program logs such a line
-    clock, took_less S       the steps between took less than S seconds
-    stop, exits CODE         SIGTERM; the program ends by itself
+    log PATTERN              the program logs a matching line
+    clock, took_less S       the steps between the two took less than S seconds
+    stop, exits CODE         SIGTERM; the program exits by itself with this code
     """
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.settings = json.loads(json.dumps(SETTINGS))
         self.known: list[dict] = []
-        self.doors: dict[str, socket.socket] = {}
-        self.clients: dict[str, Peer] = {}
-        self.dials: dict[str, Peer] = {}
+        self.server_sockets: dict[str, socket.socket] = {}
+        self.clients: dict[str, LineConnection] = {}
+        self.dials: dict[str, LineConnection] = {}
         self.discovery = self.listen()
-        self.calls: list[Peer] = []
+        self.list_calls: list[LineConnection] = []
         self.program: subprocess.Popen[bytes] | None = None
         self.log = b""
-        self.began = 0.0
-        self.descriptors = 0  # that the program may hold, 0 for as many as this process
+        self.clock_started = 0.0
+        self.descriptors = 0  # limit for the program; 0: that of this process
         self.crowd: list[socket.socket] = []
         self.folder = tempfile.TemporaryDirectory()
-        self.file = Path(self.folder.name, "told.json")
+        self.configuration_path = Path(self.folder.name, "told.json")
 
     @staticmethod
     def listen() -> socket.socket:
-        door = socket.create_server(("127.0.0.1", 0))
-        door.settimeout(PATIENCE)
-        return door
+        listener = socket.create_server(("127.0.0.1", 0))
+        listener.settimeout(STEP_TIMEOUT_SECONDS)
+        return listener
 
     def run(self) -> None:
         try:
@@ -300,7 +302,7 @@
                 words = line.split("#")[0].rstrip().split(maxsplit=2)
                 if words:
                     try:
-                        self.step(words[0], words[1:])
+                        self.run_step(words[0], words[1:])
                     except (AssertionError, TimeoutError, ConnectionError) as why:
                         raise AssertionError(f"{self.path.name}:{number}: {line}: {why}") from why
         finally:
@@ -309,14 +311,19 @@
                 self.program.wait()
                 self.program.stdout.close()
             self.folder.cleanup()
-            ends = [*self.crowd, *self.doors.values(), self.discovery, *(p.sock for p in self.peers())]
+            ends = [
+                *self.crowd,
+                *self.server_sockets.values(),
+                self.discovery,
+                *(p.sock for p in self.connections()),
+            ]
             for sock in ends:
                 sock.close()
 
-    def peers(self) -> list[Peer]:
-        return [*self.clients.values(), *self.dials.values(), *self.calls]
+    def connections(self) -> list[LineConnection]:
+        return [*self.clients.values(), *self.dials.values(), *self.list_calls]
 
-    def step(self, kind: str, words: list[str]) -> None:
+    def run_step(self, kind: str, words: list[str]) -> None:
         getattr(self, f"on_{kind}")(*words)
 
     def on_known(self, *words: str) -> None:
@@ -324,12 +331,12 @@
             name, _, state = word.rstrip("!").partition(":")
             self.known.append(self.entry(name, state or "SERVING"))
             if word.endswith("!"):
-                self.doors.pop(name).close()
+                self.server_sockets.pop(name).close()
 
     def entry(self, name: str, state: str) -> dict:
-        if name not in self.doors:
-            self.doors[name] = self.listen()
-        port = self.doors[name].getsockname()[1]
+        if name not in self.server_sockets:
+            self.server_sockets[name] = self.listen()
+        port = self.server_sockets[name].getsockname()[1]
         return {"id": name, "addr": f"127.0.0.1:{port}", "zone": "z", "state": state}
 
     def on_set(self, *words: str) -> None:
@@ -353,7 +360,7 @@
                     sock.sendall(b"x" * int(count))
         elif what == "gone":
             for sock in self.crowd:
-                assert select.select([sock], [], [], PATIENCE)[0], "a connection is kept"
+                assert select.select([sock], [], [], STEP_TIMEOUT_SECONDS)[0], "a connection is kept"
         else:
             self.crowd = [self.connect() for _ in range(int(what))]
 
@@ -362,43 +369,43 @@
             text = "{"
         else:
             self.discovery = self.listen()
-            self.calls = []
-            text = self.told()
-        new = self.file.with_suffix(".new")
+            self.list_calls = []
+            text = self.configuration_text()
+        new = self.configuration_path.with_suffix(".new")
         new.write_text(text)
-        new.replace(self.file)
+        new.replace(self.configuration_path)
         for _ in range(3):
             self.program.send_signal(signal.SIGHUP)
 
-    def told(self) -> str:
-        told = {
+    def configuration_text(self) -> str:
+        configuration = {
             "name": "b", "listen": "127.0.0.1:0", "seed": "a5", "settings": self.settings,
             "discovery": f"127.0.0.1:{self.discovery.getsockname()[1]}",
             "known": {"version": 7, "full": True, "servers": self.known},
         }  # fmt: skip
-        return json.dumps(told)
+        return json.dumps(configuration)
 
     def on_start(self) -> None:
-        text = self.told()
-        self.file.write_text(text)
-        command = [sys.executable, "-m", "thymedeck", "serve", "--config", str(self.file)]
+        text = self.configuration_text()
+        self.configuration_path.write_text(text)
+        command = [sys.executable, "-m", "thymedeck", "serve", "--config", str(self.configuration_path)]
         limit = (self.descriptors, self.descriptors)
-        few = partial(resource.setrlimit, resource.RLIMIT_NOFILE, limit) if self.descriptors else None
+        set_limit = partial(resource.setrlimit, resource.RLIMIT_NOFILE, limit) if self.descriptors else None
         env = os.environ | {"LB_DISCOVERY": json.loads(text)["discovery"]}
-        self.program = subprocess.Popen(command, stdout=subprocess.PIPE, preexec_fn=few, env=env)
+        self.program = subprocess.Popen(command, stdout=subprocess.PIPE, preexec_fn=set_limit, env=env)
         self.address = self.on_log('*"event":"started"*')["listen"].split(":")
-        probe = Peer(self.connect())
-        probe.act("says", "PING")
-        probe.act("gets", "PONG")
+        probe = LineConnection(self.connect())
+        probe.perform("says", "PING")
+        probe.perform("gets", "PONG")
         probe.sock.close()
 
     def connect(self) -> socket.socket:
-        return socket.create_connection((self.address[0], int(self.address[1])), timeout=PATIENCE)
+        return socket.create_connection((self.address[0], int(self.address[1])), timeout=STEP_TIMEOUT_SECONDS)
 
     def on_log(self, *words: str) -> dict:
-        """Waits for such a line; those before it are passed over."""
+        """Waits for a matching line and skips those before it."""
         pattern = " ".join(words)
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + STEP_TIMEOUT_SECONDS
         while True:
             while b"\n" in self.log:
                 line, _, self.log = self.log.partition(b"\n")
@@ -407,79 +414,79 @@
             left = until - time.monotonic()
             ready = select.select([self.program.stdout], [], [], max(left, 0))[0]
             got = os.read(self.program.stdout.fileno(), 65536) if ready else b""
-            assert got, f"no log line {pattern}"
+            assert got, f"no log line matches {pattern}"
             self.log += got
 
     def on_client(self, name: str, rest: str) -> None:
         verb, _, text = rest.partition(" ")
         if verb in ("opens", "connects"):
-            self.clients[name] = Peer(self.connect())
+            self.clients[name] = LineConnection(self.connect())
             if verb == "opens":
-                self.clients[name].act("says", f"OPEN id{name} key{name} {text}")
+                self.clients[name].perform("says", f"OPEN id{name} key{name} {text}")
         else:
-            self.clients[name].act(verb, text)
+            self.clients[name].perform(verb, text)
 
     def on_server(self, name: str, rest: str) -> None:
         verb, _, text = rest.partition(" ")
         if verb == "dialled":
-            doors = [door for at, door in self.doors.items() if not text or at == text]
-            ready = select.select(doors, [], [], PATIENCE)[0]
+            listeners = [listener for at, listener in self.server_sockets.items() if not text or at == text]
+            ready = select.select(listeners, [], [], STEP_TIMEOUT_SECONDS)[0]
             assert ready, "no dial"
-            self.dials[name] = Peer(ready[0].accept()[0])
-            line = self.dials[name].line()
+            self.dials[name] = LineConnection(ready[0].accept()[0])
+            line = self.dials[name].read_line()
             assert line.startswith(f"OPEN id{name} key{name} "), line
             self.figures = line.split()[3]
         elif verb == "fills":
             data = os.urandom(int(text)).replace(b"\n", b"-")
             writer = threading.Thread(target=self.dials[name].sock.sendall, args=(data,))
             writer.start()
-            same = self.clients[name].exactly(len(data)) == data
+            same = self.clients[name].read_exactly(len(data)) == data
             writer.join()
             assert same, "bytes changed"
         else:
-            self.dials[name].act(verb, text)
+            self.dials[name].perform(verb, text)
 
     def on_figures(self, *words: str) -> None:
         assert fnmatch(self.figures, words[0]), self.figures
 
     def on_list(self, verb: str, text: str = "") -> None:
         if verb == "asked":
-            if not self.calls or self.calls[-1].sock.fileno() < 0:
-                self.take_call()
-            call = self.calls[-1].line()
+            if not self.list_calls or self.list_calls[-1].sock.fileno() < 0:
+                self.accept_list_call()
+            call = self.list_calls[-1].read_line()
             if call in ("end", "reset"):
-                self.take_call()
-                call = self.calls[-1].line()
-            while self.calls[-1].line():
+                self.accept_list_call()
+                call = self.list_calls[-1].read_line()
+            while self.list_calls[-1].read_line():
                 pass
             assert fnmatch(call, f"GET {text} HTTP/1.1"), call
         elif verb == "says":
             version, full, *rows = text.split()
             entries = [self.entry(*row.split(":")) for row in rows]
             body = json.dumps({"version": int(version), "full": full == "whole", "servers": entries})
-            self.reply("200 OK", body)
+            self.reply_to_list_call("200 OK", body)
         elif verb == "answers":
             status, _, body = text.partition(" ")
-            self.reply(status, body)
+            self.reply_to_list_call(status, body)
         else:
-            self.calls[-1].act(verb, text)
+            self.list_calls[-1].perform(verb, text)
 
-    def take_call(self) -> None:
-        self.calls.append(Peer(self.discovery.accept()[0]))
+    def accept_list_call(self) -> None:
+        self.list_calls.append(LineConnection(self.discovery.accept()[0]))
 
-    def reply(self, status: str, body: str) -> None:
+    def reply_to_list_call(self, status: str, body: str) -> None:
         head = f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n"
-        self.calls[-1].sock.sendall(head.encode() + body.encode())
+        self.list_calls[-1].sock.sendall(head.encode() + body.encode())
 
     def on_clock(self) -> None:
-        self.began = time.monotonic()
+        self.clock_started = time.monotonic()
 
     def on_took_less(self, most: str) -> None:
-        took = time.monotonic() - self.began
+        took = time.monotonic() - self.clock_started
         assert took < float(most), f"took {took:.2f} s"
 
     def on_stop(self) -> None:
         self.program.terminate()
 
     def on_exits(self, code: str) -> None:
-        assert self.program.wait(PATIENCE) == int(code)
+        assert self.program.wait(STEP_TIMEOUT_SECONDS) == int(code)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from tests.helpers import service_for_lists
+from tests.helpers import list_only_service
 from thymedeck import interface
 from thymedeck.net.clients import AT_ONCE, Door
 from thymedeck.net.loop import Loop
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def service() -> Service:
-    return service_for_lists()
+    return list_only_service()
 
 
 @pytest.mark.parametrize("bad", BAD)
@@ -36,15 +36,15 @@
     """Guards against a list refused whole, and against a server taken to be gone for a slip in its entry."""
     before = '{"version":1,"full":true,"servers":[{"id":"known","addr":"127.0.0.1:7"}]}'
     service.take_list(decode(before), interface.ListKind.WHOLE)
-    (known,) = (one for event in service.told for one in event.entries)
+    (known,) = (one for event in service.policy_events for one in event.entries)
     service.take_list(
         decode(f'{{"version":2,"full":true,"servers":[{bad},{GOOD}]}}'), interface.ListKind.WHOLE
     )
-    last = {one.server: one for event in service.told for one in event.entries}
+    last = {one.server: one for event in service.policy_events for one in event.entries}
     assert last.pop(service.server_index["good"]).state is interface.ServerState.READY
     left_out = replace(known, state=interface.ServerState.GONE)
     assert list(last.values()) == [known if "known" in bad else left_out]
-    assert service.logged.count("bad_entry") == 1
+    assert service.logged_events.count("bad_entry") == 1
 
 
 @pytest.mark.parametrize("address", ["somewhere:80", "127.0.0.1:0", "127.0.0.1", "1.2.3:4", "::1:80"])
@@ -53,7 +53,7 @@
     text = f'{{"version":1,"full":true,"servers":[{{"id":"a","addr":"{address}"}},{GOOD}]}}'
     service.take_list(decode(text), interface.ListKind.WHOLE)
     assert list(service.server_index) == ["good"]
-    assert "bad_address" in service.logged
+    assert "bad_address" in service.logged_events
 
 
 def test_all_that_waits_at_the_door_is_taken_in_before_it_closes() -> None:
@@ -81,4 +81,4 @@
     listing = decode(f'{{"version":1,"full":true,"servers":[{GOOD}]}}')
     for _ in range(2):
         service.take_list(listing, interface.ListKind.WHOLE)
-    assert [len(event.entries) for event in service.told] == [1, 0]
+    assert [len(event.entries) for event in service.policy_events] == [1, 0]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 from msgspec.structs import replace
 
-from tests.helpers import SITE, service_for_lists
+from tests.helpers import DEPLOYMENT, list_only_service
 from thymedeck import interface
 from thymedeck.net.service import Service
 from thymedeck.net.told import Listing, Row
@@ -17,14 +17,14 @@
 HELD = 2
 WARM, COLD = 0, 1
 LISTED = 1_000_000
-WINDOW = SITE.overload_window
+WINDOW = DEPLOYMENT.overload_window
 
 
 class One:
     """One balancer with two sessions on a warm server, told of a cold one that has just started."""
 
     def __init__(self, seed: int, told: int) -> None:
-        self.balancer = Balancer(seed, replace(SITE, replicas=told))
+        self.balancer = Balancer(seed, replace(DEPLOYMENT, replicas=told))
         self.next = 0
         self.balancer.handle(0, interface.ServerListUpdated(interface.ListKind.SAVED, [entry(WARM, 0)]))
         for _ in range(HELD):
@@ -58,10 +58,11 @@
         times = [LISTED + (window * dials + at) * WINDOW // dials for at in range(dials)]
         granted = sum(one.session(now) == COLD for now in times for one in fleet)
         able = [
-            SITE.start_capacity + (1 - SITE.start_capacity) * (now - LISTED) / SITE.warm_after
+            DEPLOYMENT.start_capacity
+            + (1 - DEPLOYMENT.start_capacity) * (now - LISTED) / DEPLOYMENT.warm_after
             for now in times
         ]
-        budget = SITE.overload_factor * max(able) * HELD * WINDOW / SITE.warm_after * REPLICAS
+        budget = DEPLOYMENT.overload_factor * max(able) * HELD * WINDOW / DEPLOYMENT.warm_after * REPLICAS
         assert 0.6 * budget < granted < 1.1 * budget, (window, granted, budget)
 
 
@@ -99,7 +100,7 @@
     """Guards against a list that is called by all balancers at once, turns them away, and is called again."""
     waits = []
     for seed in range(40):
-        balancer = Balancer(seed, replace(SITE, replicas=40, list_on_request=True))
+        balancer = Balancer(seed, replace(DEPLOYMENT, replicas=40, list_on_request=True))
         out = balancer.handle(0, interface.ServerListUpdated(interface.ListKind.SAVED, [entry(WARM, 0)]))
         for count in range(failures):
             out = balancer.handle(
@@ -117,14 +118,14 @@
 
 def test_a_server_that_comes_back_under_its_id_is_known_by_its_new_address_and_start() -> None:
     """Guards against dials to where it was, and against taking a cold server for the warm one it was."""
-    service = service_for_lists()
+    service = list_only_service()
     for address, started_ms in (("127.0.0.1:1", 0), ("127.0.0.2:2", 700), ("nowhere", 900)):
         row = Row(id="s", addr=address, zone="z", kind="big", started_ms=started_ms)
         raw = msgspec.Raw(msgspec.json.encode(row))
         service.take_list(Listing(version=1, full=True, servers=[raw]), interface.ListKind.WHOLE)
     assert [known.address for known in service.servers] == [("127.0.0.2", 2)]
-    assert [one.entries[0].started for one in service.told] == [0, 7_005, 9_005]
-    assert {one.entries[0].kind for one in service.told} == {0}
+    assert [one.entries[0].started for one in service.policy_events] == [0, 7_005, 9_005]
+    assert {one.entries[0].kind for one in service.policy_events} == {0}
 
 
 FAST, SLOW = 0, 1  # kinds of machine
@@ -142,7 +143,7 @@
     chance = random.Random(3)
     placed = [0, 0]
     for seed in range(200):
-        balancer = Balancer(seed, replace(SITE, replicas=200))
+        balancer = Balancer(seed, replace(DEPLOYMENT, replicas=200))
         balancer.handle(0, interface.ServerListUpdated(interface.ListKind.SAVED, of_kinds(40)))
         for sess in range(8):
             at = 2 * chance.randrange(20) + chance.choices((FAST, SLOW), (3, 1))[0]
@@ -155,7 +156,7 @@
 
 def test_sums_are_compared_by_what_servers_of_a_kind_hold() -> None:
     """Guards against one balancer with many sessions that fills slow servers until their sums are level."""
-    balancer = Balancer(1, replace(SITE, replicas=200))
+    balancer = Balancer(1, replace(DEPLOYMENT, replicas=200))
     balancer.handle(0, interface.ServerListUpdated(interface.ListKind.SAVED, of_kinds(4)))
     for sess in range(90):
         balancer.handle(0, interface.SessionRestored(sess, 0, None, None, (0, 2, 0, 2, 1, 3)[sess % 6]))
@@ -169,7 +170,7 @@
 def test_a_kind_of_which_nothing_is_held_is_tried_like_any_other() -> None:
     placed = [0, 0]
     for seed in range(200):
-        balancer = Balancer(seed, replace(SITE, replicas=200))
+        balancer = Balancer(seed, replace(DEPLOYMENT, replicas=200))
         balancer.handle(0, interface.ServerListUpdated(interface.ListKind.SAVED, of_kinds(6)))
         (dial,) = balancer.handle(20_000, interface.SessionArrived(0, 0, 12_000, None, None, False))
         placed[dial.server % 2] += 1
@@ -180,8 +181,8 @@
     """Guards against newcomers that stay empty where every balancer's sum is zero on most servers."""
     placed, chance = [0, 0], random.Random(5)
     for seed in range(100):
-        now = LISTED + SITE.warm_after + 1
-        balancer = Balancer(seed, replace(SITE, replicas=200))
+        now = LISTED + DEPLOYMENT.warm_after + 1
+        balancer = Balancer(seed, replace(DEPLOYMENT, replicas=200))
         old = [entry(at, 0) for at in range(20)]
         balancer.handle(0, interface.ServerListUpdated(interface.ListKind.SAVED, old))
         for sess, at in enumerate(chance.sample(range(20), 8)):
@@ -203,7 +204,7 @@
 
 def test_a_kind_listed_between_two_looks_is_drawn_too() -> None:
     """Guards against a fault in the draw: kinds are looked at once a second, lists come at any time."""
-    balancer = Balancer(1, replace(SITE, replicas=200))
+    balancer = Balancer(1, replace(DEPLOYMENT, replicas=200))
     balancer.handle(0, interface.ServerListUpdated(interface.ListKind.SAVED, of_kinds(4)))
     balancer.handle(20_000, interface.SessionArrived(0, 0, 12_000, None, None, False))
     late = [interface.ServerEntry(at, 0, 0, interface.ServerState.READY, 0, kind=7) for at in range(4, 40)]
@@ -215,7 +216,7 @@
 
 def test_first_calls_of_many_balancers_leave_time_for_another_within_what_is_stated() -> None:
     """Guards against balancers that restart together and hear of new servers only as the time to ask ends."""
-    site = replace(SITE, replicas=200, list_on_request=True)
+    site = replace(DEPLOYMENT, replicas=200, list_on_request=True)
     waits = []
     for seed in range(200):
         out = Balancer(seed, site).handle(
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -6,19 +6,19 @@
 
 from thymedeck.net.notes import Beat, Figures
 
-from .helpers import NetPlay, Play
+from .helpers import PolicyScenario, SocketScenario
 
 FOLDER = Path(__file__).parent / "scenarios"
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.glob("*.txt")), ids=lambda path: path.stem)
 def test_scenario(path: Path) -> None:
-    Play(path).run()
+    PolicyScenario(path).run()
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.glob("net/*.txt")), ids=lambda path: path.stem)
 def test_scenario_on_sockets(path: Path) -> None:
-    NetPlay(path).run()
+    SocketScenario(path).run()
 
 
 def test_notes_are_told_apart() -> None:
--- a/thymedeck/interface.py
+++ b/thymedeck/interface.py
@@ -1,7 +1,7 @@
-"""What the decision module is told and what it answers, in the users' words.
+"""The types between the placement policy and its callers: events that go in and actions that come out.
 
-Times and durations are whole tenths of a millisecond. Servers and sessions are small indices that the
-caller hands out; loads are millionths of a standard core. Nothing here belongs to any protocol.
+Times and durations are whole tenths of a millisecond. Servers and sessions are small integer indices that the
+caller assigns; loads are millionths of a standard core. Nothing here depends on a wire protocol.
 """
 
 from enum import IntEnum, StrEnum
@@ -10,13 +10,15 @@
 
 
 class Effect(IntEnum):
+    """Whether the opening line of a session may be sent to a server again."""
+
     IDEMPOTENT = 0
-    DEDUPLICATED = 1
+    DEDUPLICATED = 1  # it carries a reference by which servers drop repeats for some time
     AT_MOST_ONCE = 2
 
 
 class DedupScope(IntEnum):
-    """Which servers drop the repeats of a referenced session."""
+    """The servers that share deduplication state with the one that received the first copy."""
 
     ALL = 0
     ZONE = 1
@@ -26,121 +28,123 @@
 class ServerState(IntEnum):
     READY = 0
     DRAINING = 1
-    GONE = 2
+    GONE = 2  # deleted, or no longer listed
 
 
 class DialOutcome(IntEnum):
+    """How a dial ended, before or after its session was established."""
+
     COMPLETED = 0  # the session was served to its end
     ERROR = 1  # the server answered with an error
-    REJECTED = 2  # turned down unseen
-    TIMED_OUT = 3  # no reply in time
-    UNREACHABLE = 4  # no connection in time
+    REJECTED = 2  # refused without looking at the request
+    TIMED_OUT = 3  # no reply within the dial's time limit
+    UNREACHABLE = 4  # no connection within the connect timeout
     RESET = 5  # the connection was dropped
     CANCELLED = 6
-    NOT_SENT = 7  # the dial never left
+    NOT_SENT = 7  # the request was not sent
     UNKNOWN = 8
-    MOVED = 9  # the server asked the client to move, as it drains
+    MOVED = 9  # the draining server asked the client to move
 
 
 NEVER_EXECUTED = frozenset((DialOutcome.REJECTED, DialOutcome.UNREACHABLE, DialOutcome.NOT_SENT))
 
 
 class ListKind(IntEnum):
-    CHANGES = 0
-    WHOLE = 1
-    SAVED = 2
-    FAILED = 3
+    CHANGES = 0  # the changed servers only
+    WHOLE = 1  # all servers; those not among the entries are gone
+    SAVED = 2  # all servers, from the start-up configuration
+    FAILED = 3  # the list could not be fetched
 
 
 class Reason(StrEnum):
     """Why a session is refused or torn down."""
 
-    THROTTLED = "set-ups fail all over the fleet"
+    THROTTLED = "set-ups are failing across the fleet"
     DEADLINE = "no time left for a dial"
     DIALS_EXHAUSTED = "all dials used"
-    MAY_HAVE_RUN = "it may have run and must not run again"
-    NO_CAPACITY = "no server has room"
+    MAY_HAVE_RUN = "it may have run and must not be repeated"
+    NO_CAPACITY = "no server has capacity"
     NO_SERVER = "no server is ready"
 
 
 class Timer(IntEnum):
-    LIST_REQUEST = 0
-    PROBE_TIMEOUT = 1
+    LIST_REQUEST = 0  # the server list is to be requested
+    PROBE_TIMEOUT = 1  # the probed server has not answered in time; the index is the server's
 
 
 class Listener(Struct, frozen=True):
-    handshake_target: int
-    dial_timeout: int
+    """A class of sessions and what is promised to them."""
+
+    handshake_target: int  # time within which a session should be established
+    dial_timeout: int  # time within which a session has to be answered
     effect: Effect
     dedup_scope: DedupScope
-    dedup_window: int
-    utility: float
-    message_aim: int
+    dedup_window: int  # for how long servers drop repeats
+    utility: float  # value of one session; the lowest are moved first when all servers are overloaded
+    message_aim: int  # target for the time that a message takes
 
 
 class Deployment(Struct, frozen=True):
-    """What the deployment states when a balancer starts; only what the decisions read."""
+    """The settings of a balancer that its decisions read."""
 
     listeners: tuple[Listener, ...]
-    zone: int
+    zone: int  # of this balancer
     replicas: int  # balancers, this one among them
-    tick: int
+    tick: int  # resolution of the clock; two ticks of each deadline are left unused
     connect_timeout: int
-    max_dials: int
-    may_probe: bool
-    max_retry_after: int
-    list_on_request: bool
-    list_poll_within: int
-    start_capacity: float
-    warm_after: int
-    overload_factor: float
+    max_dials: int  # per session
+    may_probe: bool  # servers answer probes with their utilization
+    max_retry_after: int  # longest delay that a refusal may ask of the client; 0: refusals carry no delay
+    list_on_request: bool  # the server list is sent on request; otherwise it is pushed
+    list_poll_within: int  # time within which the list has to be requested again
+    start_capacity: float  # of a server that has just started, as a fraction of its warm capacity
+    warm_after: int  # time from a server's start until it is warm
+    overload_factor: float  # with overload_window, limits what a cold server may be sent in that time
     overload_window: int
-    reports_load: bool
-    reports_delay: bool  # how long messages take is told
-    is_passthrough: bool
+    reports_load: bool  # the loads of open sessions are reported
+    reports_delay: bool  # the time that messages take is reported
+    is_passthrough: bool  # the packets of a flow may move to another balancer
     cross_zone_price: float
-    drain_grace: int  # within which what is sent to a server that drains has to stop
-    quota_connections: (
-        float  # connections that the fleet is to carry, the members' shares together; 0: not stated
-    )
+    drain_grace: int  # time within which sending to a draining server has to stop
+    quota_connections: float  # connections the fleet has to carry, summed over all tenants; 0: not set
 
 
 class ServerEntry(Struct):
+    """A server as the list describes it."""
+
     server: int
     zone: int
     cell: int
     state: ServerState
-    started: int
-    weight: float = 1.0  # above 0, as the list gives it
-    kind: int = -1  # of machine; -1: not told
+    started: int  # time of its start; 0: unknown
+    weight: float = 1.0  # above 0
+    kind: int = -1  # of machine; -1: unknown
 
 
 # Events
 
 
 class ServerListUpdated(Struct):
+    """A server list or changes of it, or a failed request for it."""
+
     kind: ListKind
     entries: list[ServerEntry]
-    call_duration: int = (
-        0  # FAILED: for how long the call was out; 0 for a watch, which was told all until it broke
-    )
-    is_scheduled: bool = (
-        False  # FAILED: the call went out by `RequestList`, and not as others did in that moment
-    )
-    listed_count: int = 0  # servers on the list, where some of them are still to be told
+    call_duration: int = 0  # FAILED: how long the call was pending; 0 for a watch, current until it broke
+    is_scheduled: bool = False  # FAILED: the call was made on `RequestList`, not at once with other balancers
+    listed_count: int = 0  # size of the whole list while some of its entries are still to be delivered
 
 
 class SessionArrived(Struct):
     session_id: int
     listener: int
-    budget: int
-    hint: float | None
-    subject: str | None
-    mid_flow: bool
+    budget: int  # time until the final answer is due
+    hint: float | None  # load that the client predicts
+    subject: str | None  # the client's key, which a flow keeps when it moves
+    mid_flow: bool  # the flow has begun earlier and moved here
 
 
 class SessionRestored(Struct):
-    """A session that already stood on a server when this balancer started."""
+    """A session that was already open on a server when this balancer started."""
 
     session_id: int
     listener: int
@@ -150,10 +154,14 @@
 
 
 class SessionLeft(Struct):
+    """The client ended the session."""
+
     session_id: int
 
 
 class SessionEstablished(Struct):
+    """A dial succeeded: the server accepted the session."""
+
     session_id: int
     server: int
     setup_duration: int
@@ -163,17 +171,19 @@
     session_id: int
     server: int
     outcome: DialOutcome
-    complete: bool
-    utilization: float | None
+    complete: bool  # the session is over as well; otherwise it needs another dial
+    utilization: float | None  # as the server reported with it: load divided by capacity
 
 
 class LoadReported(Struct):
+    """The measured load of a session."""
+
     session_id: int
     load: float
 
 
 class DelayReported(Struct):
-    """How long a message takes at this server now."""
+    """The time that a message currently takes at this server."""
 
     session_id: int
     server: int
@@ -183,7 +193,7 @@
 class ProbeEnded(Struct):
     server: int
     answered: bool
-    utilization: float | None
+    utilization: float | None  # load divided by capacity
 
 
 class TimerFired(Struct):
@@ -201,23 +211,31 @@
 
 
 class Dial(Struct):
+    """Connects the session to the server."""
+
     session_id: int
     server: int
-    limit: int
+    limit: int  # time until the session has to be established
 
 
 class Refuse(Struct):
+    """Rejects a session that the client may safely open again."""
+
     session_id: int
-    retry_after: int
+    retry_after: int  # delay that the client is asked for; 0: none
     reason: Reason
 
 
 class TearDown(Struct):
+    """Fails a session that may have run already and must not be repeated."""
+
     session_id: int
     reason: Reason
 
 
 class Move(Struct):
+    """Asks the client of an open session to reconnect, so that it is placed again."""
+
     session_id: int
 
 
@@ -226,12 +244,12 @@
 
 
 class RequestList(Struct):
-    pass
+    """Requests the server list."""
 
 
 class SetTimer(Struct):
     timer: Timer
-    index: int
+    index: int  # handed back with `TimerFired`
     after: int
 
 
--- a/thymedeck/policy/candidates.py
+++ b/thymedeck/policy/candidates.py
@@ -1,9 +1,9 @@
-"""The servers that are ready, held so that a decision visits only those of which something is known.
+"""Index of the ready servers that keeps the cost of a decision independent of the length of the list.
 
-A server is *idle* while nothing but its entry in the list bears on a decision: no session, no dial, no
-failure, no report. Idle servers have the same sum, zero, so they are held by groups of equals, and a decision
-treats a group as one. The others are *active*; there are about as many as this balancer holds sessions,
-however long the list is. A server becomes active by `activate`, and idle again by `settle`.
+A server is *idle* while nothing but its list entry affects decisions: no session, no dial, no failure, no
+report. Idle servers all have the load sum zero, so they are kept in groups of equal servers, and a decision
+treats each group as one candidate. The others are *active*; there are about as many of them as this balancer
+has sessions. `activate` makes a server active, and `regroup_idle` makes it idle again.
 """
 
 import heapq
@@ -15,20 +15,20 @@
 
 from .server import FADE_TIME, Server
 
-MAX_WEIGHTED_DRAWS = 32  # tried by weight before all members are weighed
-RECOMPUTE_RATIO = 1e-6  # a sum is made anew if so little of what is taken off it is left
+MAX_WEIGHTED_DRAWS = 32  # attempts at drawing by weight before the weights of all members are summed
+RECOMPUTE_RATIO = 1e-6  # a sum is recomputed when a subtraction leaves less than this part of the amount
 
 
 class AgeStage(IntEnum):
-    """By the time since a server's start."""
+    """Stage by the time since a server's start."""
 
-    COLD = 0  # until its stated warm-up is over
-    YOUNG = 1  # until a newcomer's head start has faded
+    COLD = 0  # until the configured warm-up time is over
+    YOUNG = 1  # until the load added to a newcomer has faded
     SETTLED = 2
 
 
 class GroupKey(NamedTuple):
-    """What servers of a group have in common."""
+    """The properties that the servers of a group share."""
 
     kind: int
     zone: int
@@ -36,13 +36,13 @@
 
 
 class Group:
-    """Idle servers that differ by their weights alone."""
+    """Idle servers that differ only in their weights."""
 
     def __init__(self, key: GroupKey) -> None:
         self.key = key
         self.members: list[Server] = []
-        self.weight = 0.0  # of all together
-        self.max_weight = 0.0  # at least as heavy as each member
+        self.weight = 0.0  # sum over all members
+        self.max_weight = 0.0  # upper bound of the members' weights
 
     def add(self, server: Server) -> None:
         server.group = self
@@ -62,7 +62,7 @@
             self.weight = sum(one.weight for one in self.members)
 
     def draw(self, uniform: Callable[[float, float], float]) -> Server:
-        """One of the members, by their weights."""
+        """Returns a random member, with probabilities proportional to the weights."""
         count = len(self.members)
         for _ in range(MAX_WEIGHTED_DRAWS):
             place = uniform(0, count)
@@ -79,15 +79,16 @@
 
 
 class ColdGroup(Group):
-    """Cold servers in the order of the numbers drawn for them, each for one window.
+    """Cold servers ordered by the random number drawn for each of them for one window.
 
-    Guards against asking each of them: a dial is granted to those whose number is below a chance.
+    A dial is granted to servers whose number is below a probability; the order finds them without a visit to
+    each member.
     """
 
     def __init__(self, key: GroupKey) -> None:
         super().__init__(key)
-        self.draws: list[tuple[float, int]] = []  # the number drawn, and the index
-        self.draw_ends: list[tuple[int, int]] = []  # of windows, by index; a heap
+        self.draws: list[tuple[float, int]] = []  # number drawn, server index
+        self.draw_ends: list[tuple[int, int]] = []  # end of the window, server index; a heap
         self.by_index: dict[int, Server] = {}
 
     def add(self, server: Server) -> None:
@@ -102,14 +103,14 @@
         del self.draws[bisect_left(self.draws, (server.admission_draw, server.index))]
 
     def renew_draws(self, now: int, window: int, uniform: Callable[[float, float], float]) -> None:
-        """Draws anew for the servers whose window is over."""
+        """Draws new numbers for the servers whose window is over."""
         due: dict[int, Server] = {}
         while self.draw_ends and self.draw_ends[0][0] <= now:
             until, index = heapq.heappop(self.draw_ends)
             server = self.by_index.get(index)
             if (
                 server is not None and server.draw_valid_until == until
-            ):  # else it has left, or is back with another
+            ):  # else it has left the group or has a newer draw
                 due[index] = server
         if not due:
             return
@@ -121,7 +122,7 @@
         self.draws = sorted(kept + [(server.admission_draw, server.index) for server in due.values()])
 
     def drawn_below(self, chance: float) -> Iterator[Server]:
-        """The members for which a number under this chance was drawn."""
+        """Yields the members whose number is below this probability."""
         for luck, index in self.draws:
             if luck >= chance:
                 return
@@ -129,10 +130,10 @@
 
 
 class Candidates:
-    """All ready servers, active or in a group."""
+    """All ready servers; each is either active or in a group."""
 
     def __init__(self, warm_after: int, window: int) -> None:
-        """`warm_after`: how long a server is cold; `window`: for how long what it was sent is remembered."""
+        """A server is cold for the time `warm_after`; `Server.sent_loads` counts for the time `window`."""
         self.warm_after = warm_after
         self.window = window
         self.ready: list[Server] = []
@@ -141,12 +142,12 @@
         self.active: dict[int, Server] = {}
         self.groups: dict[GroupKey, Group] = {}
         self.by_index: dict[int, Server] = {}
-        self.stage_ends: list[tuple[int, int]] = []  # when a server's stage ends, and its index; a heap
+        self.stage_ends: list[tuple[int, int]] = []  # end of a server's stage, its index; a heap
 
     # Which servers are ready
 
     def add(self, server: Server, now: int) -> None:
-        """One that is ready from now on; active at first."""
+        """Adds a server that has become ready; it is active at first."""
         server.ready_position = len(self.ready)
         self.ready.append(server)
         self.by_index[server.index] = server
@@ -158,7 +159,7 @@
                 heapq.heappush(self.stage_ends, (end, server.index))
 
     def remove(self, server: Server) -> None:
-        """To be called before anything of its entry changes."""
+        """Removes a server. To be called before any field of its entry changes."""
         if server.ready_position < 0:
             return
         self.activate(server)
@@ -186,13 +187,13 @@
     # Idle or active
 
     def activate(self, server: Server) -> None:
-        """Something becomes known of it."""
+        """Makes a server active, as its state is about to differ from that of its group."""
         if server.group is not None:
             server.group.remove(server)
             self.active[server.index] = server
 
     def regroup_idle(self, now: int, servers: Iterable[Server]) -> None:
-        """Puts those of these active servers into groups that are idle again."""
+        """Moves those of these active servers that are idle again into groups."""
         for server in servers:
             if server.is_idle(now, self.window):
                 server.slow_loads.clear()
@@ -223,7 +224,7 @@
         return AgeStage.YOUNG if now < self.stage_end(server, AgeStage.YOUNG) else AgeStage.SETTLED
 
     def advance_stages(self, now: int) -> None:
-        """Moves idle servers whose stage is over to their next group."""
+        """Moves idle servers whose stage is over to the group of their next stage."""
         while self.stage_ends and self.stage_ends[0][0] <= now:
             server = self.by_index.get(heapq.heappop(self.stage_ends)[1])
             group = server.group if server is not None else None
@@ -231,7 +232,7 @@
                 group.remove(server)
                 self.group_for(server, now).add(server)
 
-    # What is asked of all
+    # Queries
 
     def idle_groups(self) -> list[Group]:
         return [group for group in self.groups.values() if group.members]
--- a/thymedeck/policy/server.py
+++ b/thymedeck/policy/server.py
@@ -1,4 +1,7 @@
-"""What one balancer knows of a server."""
+"""The state that a balancer keeps for each server.
+
+Times are whole tenths of a millisecond. "Load sum" is the load of this balancer's own sessions on a server.
+"""
 
 from typing import TYPE_CHECKING
 
@@ -8,22 +11,22 @@
     from .balancer import Session
     from .candidates import Group
 
-SECOND = 10_000
-FADE_TIME = 30 * SECOND  # a newcomer's head start of load is gone after this (design page)
-RECENT_LIMIT = 8  # set-ups remembered of each server, and dials of the balancer
-SLOW_LOADS_LIMIT = 3  # own sums remembered at which a server was slow
-SETUP_WAITS_LIMIT = 3  # last set-ups at a server that tell of slow messages where nothing else does
+SECOND = 10_000  # in tenths of a millisecond
+FADE_TIME = 30 * SECOND  # time over which `fading_load` falls to zero (design page)
+RECENT_LIMIT = 8  # set-ups kept for each server, and dials kept for the balancer
+SLOW_LOADS_LIMIT = 3  # load sums kept at which a server was slow
+SETUP_WAITS_LIMIT = 3  # set-ups from which slow messages are inferred where message delays are not reported
 
 
-def append_bounded(kept: list, new: object, most: int) -> None:
-    """Keeps the latest so many. The lists are no deques, each of which takes 700 bytes even if empty."""
-    kept.append(new)
-    if len(kept) > most:
-        del kept[0]
+def append_bounded(items: list, new: object, limit: int) -> None:
+    """Appends to a list that keeps the latest `limit` items. An empty deque would take 700 bytes."""
+    items.append(new)
+    if len(items) > limit:
+        del items[0]
 
 
 class Server:
-    """A server as this balancer alone has seen it."""
+    """A listed server, and what this balancer has observed of it."""
 
     __slots__ = (
         "admission_draw", "cell", "draw_valid_until", "fading_load", "fading_since", "full_until", "group",
@@ -37,19 +40,21 @@
     def __init__(self, entry: ServerEntry) -> None:
         self.index = entry.server
         self.update_from(entry)
-        self.group: Group | None = None  # of idle servers, to which it belongs
-        self.group_position = 0  # in that group
-        self.ready_position = -1  # among all that are ready
-        self.session_count = 0  # sessions whose load counts here
-        self.known_load = 0.0  # summed load of those whose load is known
-        self.unknown_load_count = 0  # those whose load is not known yet
+        self.group: Group | None = None  # of idle servers; None while the server is active
+        self.group_position = 0  # in the members of that group
+        self.ready_position = -1  # in the list of ready servers; -1: not ready
+        self.session_count = 0  # sessions whose load counts here, those being dialled included
+        self.known_load = 0.0  # load sum of the sessions whose load is known
+        self.unknown_load_count = 0  # sessions whose load is not known yet; the mean is assumed
+        # Load added to the sum of a newcomer or after a failure; it falls to zero over FADE_TIME.
         self.fading_load = 0.0
         self.fading_since = 0
-        self.pending_dials = 0  # outlives a restart: what is out still ends
+        self.pending_dials = 0  # kept when the server restarts, since pending dials still end
         self.open_sessions: dict[int, Session] = {}
-        self.sent_loads: list[tuple[int, float]] = []  # what went to it lately while cold
+        # Time and load of recent dials, recorded while the load sent to it is limited.
+        self.sent_loads: list[tuple[int, float]] = []
         self.probed_at = 0
-        self.probe_waiters: list[int] = []  # sessions that wait for its report
+        self.probe_waiters: list[int] = []  # sessions held until its report arrives
         self.reset_history()
 
     def update_from(self, entry: ServerEntry) -> None:
@@ -61,29 +66,29 @@
         self.started = entry.started
 
     def reset_history(self) -> None:
-        self.admission_draw = (
-            1.0  # drawn for a window: with more room than this, in mean loads, a dial is let in
-        )
+        """Forgets what was observed before a restart of the server; open sessions are kept."""
+        # Random number for one window; a dial is admitted if the remaining budget in mean loads is above it.
+        self.admission_draw = 1.0
         self.draw_valid_until = 0
-        self.recent_setups: list[bool] = []  # set-ups: accepted or not
-        self.is_unhealthy = False
+        self.recent_setups: list[bool] = []  # whether each was accepted
+        self.is_unhealthy = False  # excluded after failed set-ups, but for single trial dials
         self.trial_at = 0
         self.trial_count = 0
-        self.full_until = 0
-        self.slow_loads: list[tuple[int, float]] = []  # own sums at which messages were slow
-        self.slow_load_limit = 0.0  # the least of these
-        self.slow_streak = 0  # notes in a row of messages past the shortest aim
-        self.relieved_at = -FADE_TIME
-        self.message_delay = 0
-        self.slow_until = -1
-        self.setup_waits: list[int] = []  # of its last set-ups
-        self.utilization = 0.0
-        self.load_at_report = 0.0
-        self.report_valid_until = -1  # how long its last report tells on which side of the cap it is
-        self.silent_until = 0
+        self.full_until = 0  # it refused a session as full; used as a last choice until then
+        self.slow_loads: list[tuple[int, float]] = []  # times and load sums at which messages were slow
+        self.slow_load_limit = 0.0  # the lowest of these load sums
+        self.slow_streak = 0  # consecutive reports of a message delay above the shortest aim
+        self.relieved_at = -FADE_TIME  # when sessions were last moved off it
+        self.message_delay = 0  # as last reported; 0 up to a third of the shortest aim
+        self.slow_until = -1  # until then it counts as loaded to its cap, as its messages were slow
+        self.setup_waits: list[int] = []  # time of the last set-ups beyond the quickest of the zone
+        self.utilization = 0.0  # load divided by capacity, as last reported
+        self.load_at_report = 0.0  # known_load at that time
+        self.report_valid_until = -1  # until then the last report tells whether it is above the load cap
+        self.silent_until = 0  # it left a probe unanswered; used as a last choice until then
 
     def is_idle(self, now: int, window: int) -> bool:
-        """Whether nothing but its entry in the list bears on a decision; `window` is that of `sent`."""
+        """Whether only its list entry affects decisions; `sent_loads` counts for the time `window`."""
         if self.session_count or self.pending_dials or self.is_unhealthy or self.probe_waiters:
             return False
         if (
--- a/thymedeck/settings.py
+++ b/thymedeck/settings.py
@@ -1,6 +1,6 @@
-"""What a deployment states, as it is spelled there, and its one decoding for the decisions.
+"""The deployment settings as they are spelled in the configuration file, and their conversion for the policy.
 
-The simulator's adapter and the balancer on sockets are told the same object.
+The simulator's adapter and the socket service read the same structure.
 """
 
 from msgspec import Struct, field
@@ -17,12 +17,14 @@
     "zone": interface.DedupScope.ZONE,
     "cell": interface.DedupScope.CELL,
 }
-NO_MESSAGE_AIM = 10_000_000.0
-MIN_WEIGHT = 1e-6
-MIN_DRAIN_GRACE = 1_000  # calls for the list are paced by parts of it
+NO_MESSAGE_AIM = 10_000_000.0  # microseconds, for a listener that states no message_aim_us
+MIN_WEIGHT = 1e-6  # of a server in the list
+MIN_DRAIN_GRACE = 1_000  # tenths of a millisecond; retries of list requests are paced by fractions of it
 
 
 class Listener(Struct):
+    """A class of sessions."""
+
     handshake_target_us: int
     deadline_us: int
     effect: str
@@ -46,10 +48,12 @@
     probes: bool = False
     retry_after: bool = False
     max_retry_after_us: int = 0
-    peers: bool = True  # whether balancers may talk to one another
+    peers: bool = True  # whether balancers may exchange messages with one another
 
 
 class Contract(Struct):
+    """What the servers and the list service promise or demand."""
+
     ask_within_us: int = 10_000_000
     drain_grace_us: int = 1_000_000
     start_capacity: float = 1.0
@@ -59,6 +63,8 @@
 
 
 class Report(Struct):
+    """The fields that servers report; `x0` is their utilization."""
+
     fields: list[str] = []
 
 
@@ -67,6 +73,8 @@
 
 
 class Settings(Struct):
+    """All settings of a deployment, the content of the key `settings`."""
+
     listeners: list[Listener]
     limits: Limits
     contract: Contract
@@ -82,48 +90,51 @@
 
 
 def floor_ticks(us: float) -> int:
+    """Converts microseconds to whole tenths of a millisecond, rounded down."""
     return int(us // 100)
 
 
 def ceil_ticks(us: float) -> int:
+    """Converts microseconds to whole tenths of a millisecond, rounded up."""
     return int(-(-us // 100))
 
 
-def deployment_from(env: Settings) -> interface.Deployment:
-    aims = env.extra.message_aim_us
+def deployment_from(settings: Settings) -> interface.Deployment:
+    """Converts the settings to the policy's types. Budgets are rounded down, waiting times up."""
+    aims = settings.extra.message_aim_us
     listeners = tuple(
         interface.Listener(
             handshake_target=floor_ticks(li.handshake_target_us),
             dial_timeout=floor_ticks(li.deadline_us),
-            # An effect or a scope that is not known is taken for the strictest.
+            # An unknown effect or scope is treated as the strictest one.
             effect=EFFECTS.get(li.effect, interface.Effect.AT_MOST_ONCE),
             dedup_scope=SCOPES.get(li.dedup_scope, interface.DedupScope.CELL),
             dedup_window=floor_ticks(li.memory_span_us),
             utility=li.utility,
             message_aim=floor_ticks(aims[at] if at < len(aims) else NO_MESSAGE_AIM),
         )
-        for at, li in enumerate(env.listeners)
+        for at, li in enumerate(settings.listeners)
     )
-    limits, contract = env.limits, env.contract
+    limits, contract = settings.limits, settings.contract
     return interface.Deployment(
         listeners=listeners,
-        zone=env.zone,
-        replicas=max(env.replicas_of_me, 1),
-        tick=ceil_ticks(env.tick_us),
+        zone=settings.zone,
+        replicas=max(settings.replicas_of_me, 1),
+        tick=ceil_ticks(settings.tick_us),
         connect_timeout=ceil_ticks(limits.dial_timeout_us),
         max_dials=limits.max_dials,
-        may_probe=limits.probes and "x0" in env.report.fields,
+        may_probe=limits.probes and "x0" in settings.report.fields,
         max_retry_after=floor_ticks(limits.max_retry_after_us) if limits.retry_after else 0,
-        list_on_request=env.discovery == "on_request",
+        list_on_request=settings.discovery == "on_request",
         list_poll_within=floor_ticks(contract.ask_within_us),
         start_capacity=contract.start_capacity,
         warm_after=ceil_ticks(contract.warm_after_us),
         overload_factor=contract.overload_factor,
         overload_window=ceil_ticks(contract.overload_for_us),
-        reports_load=env.extra.tells_load,
-        reports_delay=env.extra.tells_delay,
-        is_passthrough=env.extra.mode == "pass",
-        cross_zone_price=env.prices.cross_zone,
+        reports_load=settings.extra.tells_load,
+        reports_delay=settings.extra.tells_delay,
+        is_passthrough=settings.extra.mode == "pass",
+        cross_zone_price=settings.prices.cross_zone,
         drain_grace=max(floor_ticks(contract.drain_grace_us), MIN_DRAIN_GRACE),
-        quota_connections=sum(env.extra.tenant_quota_connections),
+        quota_connections=sum(settings.extra.tenant_quota_connections),
     )
