--- a/thymedeck/policy/candidates.py
+++ b/thymedeck/policy/candidates.py
@@ -108,9 +108,8 @@
         while self.draw_ends and self.draw_ends[0][0] <= now:
             until, index = heapq.heappop(self.draw_ends)
             server = self.by_index.get(index)
-            if (
-                server is not None and server.draw_valid_until == until
-            ):  # else it has left the group or has a newer draw
+            # Otherwise the server has left the group or has a newer draw.
+            if server is not None and server.draw_valid_until == until:
                 due[index] = server
         if not due:
             return
@@ -123,8 +122,8 @@
 
     def drawn_below(self, chance: float) -> Iterator[Server]:
         """Yields the members whose number is below this probability."""
-        for luck, index in self.draws:
-            if luck >= chance:
+        for drawn, index in self.draws:
+            if drawn >= chance:
                 return
             yield self.by_index[index]
 
