--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Keepers and followers of a configuration, whatever is lost, repeated, late, cut, crashed, begun anew."""
+"""Keepers and followers of the replicated configuration under network faults, crashes and restarts."""
 
 import json
 import subprocess
@@ -17,49 +17,49 @@
     Accept,
     Accepted,
     Apply,
-    Ask,
-    Bounds,
-    Came,
     Change,
     Committed,
     Log,
+    Nack,
     Outcome,
+    Parameters,
+    PersistentState,
+    Poll,
     Prepare,
     Promise,
-    Read,
-    ReadAnswer,
-    Refusal,
+    ReadRequest,
+    ReadResponse,
+    Received,
     Save,
     Send,
-    Stored,
-    Tell,
     Tick,
-    Unfit,
+    Update,
+    ValidationFailure,
     Version,
     decode,
     encode,
 )
-from thymedeck.configuration.sheet import read
-from thymedeck.lab.configured import PLAYS, Given, Play
+from thymedeck.configuration.sheet import read_settings
+from thymedeck.lab.configured import SCENARIOS, Options, ScenarioRun
 from thymedeck.lab.faults import Fault
 from thymedeck.lab.followers import Fleet, Node
-from thymedeck.peers.stated import Unfit as UnfitSheet
+from thymedeck.peers.stated import Unfit as SettingsError
 
-BOUND = Bounds().in_force_within
+IN_FORCE_WITHIN = Parameters().in_force_within
 HOUR = 3600 * SECOND
 FOREVER = 1 << 60
 
 
-def check(content: bytes) -> Unfit | None:
-    return Unfit("limits.sockets", "is under 1") if content.startswith(b"bad") else None
+def validate(content: bytes) -> ValidationFailure | None:
+    return ValidationFailure("limits.sockets", "is under 1") if content.startswith(b"bad") else None
 
 
-def fleet_with_first(followers: int = 9, seed: int = 1, **given_: bool) -> Fleet:
-    fleet = Fleet(followers, seed, check, **given_)
-    fleet.run(2 * SECOND)
-    fleet.change(fleet.keepers[0], Change(0, 0, b"first"))
-    fleet.run(5 * SECOND)
-    assert len(fleet.applied[1]) == followers
+def fleet_with_first(followers: int = 9, seed: int = 1, **fleet_options: bool) -> Fleet:
+    fleet = Fleet(followers, seed, validate, **fleet_options)
+    fleet.run_until(2 * SECOND)
+    fleet.submit(fleet.keepers[0], Change(0, 0, b"first"))
+    fleet.run_until(5 * SECOND)
+    assert len(fleet.applied_at[1]) == followers
     return fleet
 
 
@@ -70,9 +70,9 @@
     ]
 
 
-def cut_region(fleet: Fleet, which: int, until: int = FOREVER) -> None:
-    """From the others; inside it all goes on."""
-    inside, outside = f"*.{which}", f"*.[!{which}]"
+def cut_region(fleet: Fleet, region: int, until: int = FOREVER) -> None:
+    """Cuts a region off from the others; its own nodes still reach one another."""
+    inside, outside = f"*.{region}", f"*.[!{region}]"
     fleet.faults.entries += [
         Fault(fleet.now, until, source=inside, target=outside, cut=True),
         Fault(fleet.now, until, source=outside, target=inside, cut=True),
@@ -88,29 +88,31 @@
     for name, node in fleet.nodes.items():
         node.crash_after = -1
         fleet.start(name)
-        if node.frozen:
+        if node.is_frozen:
             fleet.wake(name)
 
 
-# Schedules
+# Random schedules of faults and changes
 
-KINDS = (
+STEP_KINDS = (
     "change", "change", "bad", "cut", "cut_one_way", "cut_pair", "region", "lose", "repeat", "reorder",
     "kill", "crash_inside", "start", "freeze", "wake", "heal",
 )  # fmt: skip
 STEPS = st.lists(
-    st.tuples(st.sampled_from(KINDS), st.integers(0, 12), st.integers(0, 3 * SECOND)), min_size=5, max_size=25
+    st.tuples(st.sampled_from(STEP_KINDS), st.integers(0, 12), st.integers(0, 3 * SECOND)),
+    min_size=5,
+    max_size=25,
 )
 
 
-def play(fleet: Fleet, kind: str, which: int, token: int) -> None:
+def apply_step(fleet: Fleet, kind: str, index: int, token: int) -> None:
     names = fleet.keepers * 2 + fleet.followers
-    name = names[which % len(names)]
-    keeper = fleet.keepers[which % 4]
+    name = names[index % len(names)]
+    keeper = fleet.keepers[index % 4]
     now = fleet.now
     if kind in ("change", "bad"):
         content = b"%s %d" % (b"bad" if kind == "bad" else b"good", token)
-        fleet.change(keeper, Change(token, fleet.committed(), content))
+        fleet.submit(keeper, Change(token, fleet.last_committed(), content))
     elif kind == "cut":
         cut(fleet, name)
     elif kind == "cut_one_way":
@@ -118,13 +120,13 @@
     elif kind == "cut_pair":
         fleet.faults.entries.append(Fault(now, FOREVER, source=name, target=keeper, cut=True))
     elif kind == "region":
-        cut_region(fleet, which % 3, now + 4 * SECOND)
+        cut_region(fleet, index % 3, now + 4 * SECOND)
     elif kind in ("lose", "repeat"):
         fleet.faults.entries.append(Fault(now, now + 5 * SECOND, **{kind: 0.4}))
     elif kind == "reorder":
         fleet.faults.entries.append(Fault(now, now + 5 * SECOND, spread=2 * SECOND))
     elif kind == "crash_inside":
-        fleet.nodes[name].crash_after = which % 5
+        fleet.nodes[name].crash_after = index % 5
     elif kind == "heal":
         heal(fleet)
     else:
@@ -134,519 +136,539 @@
 @settings(
     max_examples=80, deadline=None, derandomize=True, database=None, suppress_health_check=list(HealthCheck)
 )
-@given(steps=STEPS, seed=st.integers(0, 1 << 16), checked=st.booleans())
-def test_no_schedule_forks_or_goes_back_and_all_have_the_last_once_whole(
-    steps: list[tuple[str, int, int]], seed: int, checked: bool
+@given(steps=STEPS, seed=st.integers(0, 1 << 16), is_checked=st.booleans())
+def test_any_schedule_of_faults_keeps_consistency_and_converges_once_healed(
+    steps: list[tuple[str, int, int]], seed: int, is_checked: bool
 ) -> None:
-    fleet = fleet_with_first(seed=seed, checked_by_keepers=checked)
-    for token, (kind, which, wait) in enumerate(steps):
-        play(fleet, kind, which, token + 1)
-        fleet.run(fleet.now + wait)
+    fleet = fleet_with_first(seed=seed, checked_by_keepers=is_checked)
+    for token, (kind, index, wait) in enumerate(steps):
+        apply_step(fleet, kind, index, token + 1)
+        fleet.run_until(fleet.now + wait)
     heal(fleet)
-    fleet.run(fleet.now + 2 * SECOND)  # what was late by their spread has come
+    fleet.run_until(fleet.now + 2 * SECOND)  # delayed messages have arrived
     healed = fleet.now
-    fleet.run(healed + 2 * BOUND)
-    all_have_the_last(fleet, healed)
-    for _ in range(3):  # one of our own withdrawals may come between
-        fleet.change(fleet.keepers[0], Change(999, fleet.committed(), b"last"))
-        fleet.run(fleet.now + 2 * BOUND)
-        if [answer for _, _, answer in fleet.answers if answer.token == 999][-1].outcome is Outcome.COMMITTED:
+    fleet.run_until(healed + 2 * IN_FORCE_WITHIN)
+    assert_all_applied_last(fleet, healed)
+    for _ in range(3):  # a withdrawal may be committed first, so that this change is a conflict
+        fleet.submit(fleet.keepers[0], Change(999, fleet.last_committed(), b"last"))
+        fleet.run_until(fleet.now + 2 * IN_FORCE_WITHIN)
+        if [result for _, _, result in fleet.results if result.token == 999][-1].outcome is Outcome.COMMITTED:
             break
-    assert all(fleet.contents[node.in_force] == {b"last"} for node in followers(fleet))
-    assert fleet.faults_of_versions() == []
-    ever = set().union(*fleet.contents.values())
-    for _, _, answer in fleet.answers:
-        if answer.outcome is Outcome.COMMITTED and answer.token not in (0, 999):
-            assert b"good %d" % answer.token in ever or b"bad %d" % answer.token in ever
+    assert all(fleet.committed_contents[node.applied_number] == {b"last"} for node in followers(fleet))
+    assert fleet.consistency_violations() == []
+    all_contents = set().union(*fleet.committed_contents.values())
+    for _, _, result in fleet.results:
+        if result.outcome is Outcome.COMMITTED and result.token not in (0, 999):
+            assert b"good %d" % result.token in all_contents or b"bad %d" % result.token in all_contents
 
 
 def followers(fleet: Fleet) -> list[Node]:
     return [fleet.nodes[name] for name in fleet.followers]
 
 
-def all_have_the_last(fleet: Fleet, healed: int) -> None:
-    """Within the bound of its commit, or of the network's healing."""
-    assert fleet.faults_of_versions() == []
-    last = fleet.committed()
-    (content,) = fleet.contents[last]
-    if check(content) is not None:
+def assert_all_applied_last(fleet: Fleet, healed: int) -> None:
+    """Within the bound, counted from its commit or from when the network healed."""
+    assert fleet.consistency_violations() == []
+    last = fleet.last_committed()
+    (content,) = fleet.committed_contents[last]
+    if validate(content) is not None:
         assert logged(fleet, "configuration_split")
-    elif fleet.now - max(healed, fleet.committed_at[last]) >= BOUND:
-        assert [node.name for node in followers(fleet) if node.in_force != last] == []
+    elif fleet.now - max(healed, fleet.committed_at[last]) >= IN_FORCE_WITHIN:
+        assert [node.name for node in followers(fleet) if node.applied_number != last] == []
 
 
-# What may not happen to a change
+# Changes
 
 
-def test_an_unfit_change_is_refused_by_the_keeper_and_never_proposed() -> None:
+def test_an_invalid_change_is_refused_by_the_keeper_and_never_proposed() -> None:
     fleet = fleet_with_first()
-    fleet.change(fleet.keepers[1], Change(7, 1, b"bad"))
-    fleet.run(fleet.now + 2 * BOUND)
-    assert [answer for _, _, answer in fleet.answers][-1] == (7, Outcome.UNFIT, 1)
+    fleet.submit(fleet.keepers[1], Change(7, 1, b"bad"))
+    fleet.run_until(fleet.now + 2 * IN_FORCE_WITHIN)
+    assert [result for _, _, result in fleet.results][-1] == (7, Outcome.INVALID, 1)
     (line,) = [log for _, _, log in fleet.logs if log.event == "configuration_unfit"]
     assert line.fields == {"entry": "limits.sockets", "reason": "is under 1", "base": 1}
-    assert list(fleet.contents) == [1]
+    assert list(fleet.committed_contents) == [1]
 
 
-def test_what_followers_alone_refuse_is_in_force_nowhere_and_withdrawn_within_the_bound() -> None:
-    """Where programs differ: keepers let it pass."""
+def test_a_version_that_only_followers_refuse_is_never_applied_and_is_withdrawn_in_time() -> None:
+    """Happens where keepers and followers run different programs, so that keepers accept the content."""
     fleet = fleet_with_first(checked_by_keepers=False)
-    fleet.change(fleet.keepers[1], Change(7, 1, b"bad"))
-    asked = fleet.now
-    fleet.run(asked + BOUND)
-    assert 2 not in fleet.applied
-    assert {node.in_force for node in followers(fleet)} == {3}
-    assert (fleet.contents[3], fleet.faults_of_versions()) == ({b"first"}, [])
+    fleet.submit(fleet.keepers[1], Change(7, 1, b"bad"))
+    submitted_at = fleet.now
+    fleet.run_until(submitted_at + IN_FORCE_WITHIN)
+    assert 2 not in fleet.applied_at
+    assert {node.applied_number for node in followers(fleet)} == {3}
+    assert (fleet.committed_contents[3], fleet.consistency_violations()) == ({b"first"}, [])
     for name in fleet.followers:
         (line,) = [log for _, at, log in fleet.logs if at == name and log.event == "configuration_refused"]
-        wanted = {"file": f"{name}.saved", "number": 2, "entry": "limits.sockets", "reason": "is under 1"}
-        assert line.fields == wanted
+        expected = {"file": f"{name}.saved", "number": 2, "entry": "limits.sockets", "reason": "is under 1"}
+        assert line.fields == expected
 
 
 def test_a_withdrawal_is_not_withdrawn() -> None:
-    """Everybody refuses what was before as well: the keepers say that the fleet is split, and stop."""
+    """All followers refuse the restored content as well: the keepers log a split fleet and stop there."""
     fleet = fleet_with_first(checked_by_keepers=False)
-    fleet.check = lambda _: Unfit("all", "is unfit")
+    fleet.validate = lambda _: ValidationFailure("all", "is invalid")
     for name in fleet.followers:
-        fleet.nodes[name].mind.check = fleet.check
-    fleet.change(fleet.keepers[1], Change(7, 1, b"bad"))
-    fleet.run(fleet.now + 10 * BOUND)
-    assert sorted(fleet.contents) == [1, 2, 3]
+        fleet.nodes[name].process.validate = fleet.validate
+    fleet.submit(fleet.keepers[1], Change(7, 1, b"bad"))
+    fleet.run_until(fleet.now + 10 * IN_FORCE_WITHIN)
+    assert sorted(fleet.committed_contents) == [1, 2, 3]
     assert len({name for _, name in logged(fleet, "configuration_split")}) == 4
-    assert {node.in_force for node in followers(fleet)} == {1}
+    assert {node.applied_number for node in followers(fleet)} == {1}
 
 
-def test_a_change_made_on_an_old_version_undoes_nothing() -> None:
+def test_a_change_based_on_an_old_version_is_a_conflict() -> None:
     fleet = fleet_with_first()
-    fleet.change(fleet.keepers[0], Change(1, 1, b"one"))
-    fleet.run(fleet.now + SECOND)
-    fleet.change(fleet.keepers[2], Change(2, 1, b"two"))
-    fleet.run(fleet.now + SECOND)
-    assert [answer for _, _, answer in fleet.answers][-1] == (2, Outcome.OUTDATED, 2)
-    assert fleet.contents[2] == {b"one"}
+    fleet.submit(fleet.keepers[0], Change(1, 1, b"one"))
+    fleet.run_until(fleet.now + SECOND)
+    fleet.submit(fleet.keepers[2], Change(2, 1, b"two"))
+    fleet.run_until(fleet.now + SECOND)
+    assert [result for _, _, result in fleet.results][-1] == (2, Outcome.CONFLICT, 2)
+    assert fleet.committed_contents[2] == {b"one"}
 
 
-def test_changes_at_all_keepers_at_once_one_is_committed() -> None:
+def test_of_concurrent_changes_at_all_keepers_exactly_one_is_committed() -> None:
     fleet = fleet_with_first()
     for at, name in enumerate(fleet.keepers):
-        fleet.change(name, Change(at + 1, 1, b"change %d" % at))
-    fleet.run(fleet.now + 2 * BOUND)
-    outcomes = Counter(answer.outcome for _, _, answer in fleet.answers[1:])
-    assert outcomes == {Outcome.COMMITTED: 1, Outcome.OUTDATED: 3}
-    assert sorted(fleet.contents) == [1, 2]
+        fleet.submit(name, Change(at + 1, 1, b"change %d" % at))
+    fleet.run_until(fleet.now + 2 * IN_FORCE_WITHIN)
+    outcomes = Counter(result.outcome for _, _, result in fleet.results[1:])
+    assert outcomes == {Outcome.COMMITTED: 1, Outcome.CONFLICT: 3}
+    assert sorted(fleet.committed_contents) == [1, 2]
 
 
-def test_two_keepers_lost_nothing_is_committed_until_one_is_back_and_all_say_what_they_know() -> None:
+def test_without_a_majority_nothing_is_committed_and_an_isolated_keeper_is_stale() -> None:
     fleet = fleet_with_first()
     fleet.kill(fleet.keepers[0])
     cut(fleet, fleet.keepers[1])
-    fleet.run(fleet.now + BOUND)
-    fleet.change(fleet.keepers[2], Change(7, 1, b"two"))
-    fleet.run(fleet.now + 11 * SECOND)
-    assert [answer for _, _, answer in fleet.answers][-1] == (7, Outcome.NOT_COMMITTED, 1)
-    # The two left know that nobody could commit without one of them; the one cut off doesn't.
-    assert [fleet.nodes[name].mind.is_fresh(fleet.now) for name in fleet.keepers[1:]] == [False, True, True]
+    fleet.run_until(fleet.now + IN_FORCE_WITHIN)
+    fleet.submit(fleet.keepers[2], Change(7, 1, b"two"))
+    fleet.run_until(fleet.now + 11 * SECOND)
+    assert [result for _, _, result in fleet.results][-1] == (7, Outcome.NOT_COMMITTED, 1)
+    # The two that are left know that no majority exists without one of them; the isolated one does not.
+    assert [fleet.nodes[name].process.is_fresh(fleet.now) for name in fleet.keepers[1:]] == [
+        False,
+        True,
+        True,
+    ]
     assert [name for at, name in logged(fleet, "keeper_stale") if at > 5 * SECOND] == [fleet.keepers[1]]
     assert logged(fleet, "configuration_unheard") == []
     fleet.faults.entries.clear()
-    fleet.change(fleet.keepers[2], Change(8, 1, b"two"))
+    fleet.submit(fleet.keepers[2], Change(8, 1, b"two"))
     healed = fleet.now
-    fleet.run(healed + BOUND)
-    assert {node.in_force for node in followers(fleet)} == {2}
+    fleet.run_until(healed + IN_FORCE_WITHIN)
+    assert {node.applied_number for node in followers(fleet)} == {2}
 
 
-def test_a_proposer_that_dies_between_its_commit_and_its_word_is_made_good_by_another() -> None:
+def test_another_keeper_commits_the_version_of_a_proposer_that_died() -> None:
     fleet = fleet_with_first()
-    fleet.change(fleet.keepers[0], Change(7, 1, b"two"))
-    while fleet.nodes[fleet.keepers[0]].mind.state.accepted.number < 2:
-        fleet.run(fleet.now + 1)
+    fleet.submit(fleet.keepers[0], Change(7, 1, b"two"))
+    while fleet.nodes[fleet.keepers[0]].process.state.accepted_version.number < 2:
+        fleet.run_until(fleet.now + 1)
     fleet.kill(fleet.keepers[0])
-    fleet.run(fleet.now + BOUND)
-    assert {node.in_force for node in followers(fleet)} == {2}
+    fleet.run_until(fleet.now + IN_FORCE_WITHIN)
+    assert {node.applied_number for node in followers(fleet)} == {2}
 
 
-# A part that hears nothing
+# Isolated and frozen nodes
 
 
-def test_a_region_cut_off_says_so_once_and_has_the_last_within_the_bound_of_healing() -> None:
-    """With its keeper: two of four are in region 0, and one in each other."""
+def test_followers_of_an_isolated_region_log_it_once_and_catch_up_in_time_after_healing() -> None:
+    """Region 1 has one of the four keepers; region 0 has two and region 2 one."""
     fleet = fleet_with_first(followers=12)
     cut_region(fleet, 1)
-    fleet.run(fleet.now + SECOND)
-    fleet.change(fleet.keepers[0], Change(7, 1, b"two"))
-    fleet.run(fleet.now + 30 * SECOND)
-    alone = [name for name in fleet.followers if name.endswith(".1")]
+    fleet.run_until(fleet.now + SECOND)
+    fleet.submit(fleet.keepers[0], Change(7, 1, b"two"))
+    fleet.run_until(fleet.now + 30 * SECOND)
+    isolated = [name for name in fleet.followers if name.endswith(".1")]
     assert {
-        name for name, node in fleet.nodes.items() if name in fleet.followers and node.in_force == 2
-    } == set(fleet.followers) - set(alone)
-    assert sorted(name for _, name in logged(fleet, "configuration_unheard")) == sorted(alone)
+        name for name, node in fleet.nodes.items() if name in fleet.followers and node.applied_number == 2
+    } == set(fleet.followers) - set(isolated)
+    assert sorted(name for _, name in logged(fleet, "configuration_unheard")) == sorted(isolated)
     split = [log.fields for _, _, log in fleet.logs if log.event == "configuration_split"]
     assert split and all(fields["unheard"] == 4 for fields in split)
     fleet.faults.entries.clear()
-    fleet.run(fleet.now + BOUND)
-    assert {node.in_force for node in followers(fleet)} == {2}
-    assert sorted(name for _, name in logged(fleet, "configuration_heard")) == sorted(alone)
-    fleet.run(fleet.now + BOUND)
+    fleet.run_until(fleet.now + IN_FORCE_WITHIN)
+    assert {node.applied_number for node in followers(fleet)} == {2}
+    assert sorted(name for _, name in logged(fleet, "configuration_heard")) == sorted(isolated)
+    fleet.run_until(fleet.now + IN_FORCE_WITHIN)
     assert len(logged(fleet, "configuration_whole")) == len(split)
 
 
-def test_a_third_frozen_and_woken_has_the_last_within_the_bound() -> None:
+def test_frozen_nodes_catch_up_in_time_after_waking() -> None:
     fleet = fleet_with_first(followers=12)
-    third = [fleet.keepers[1], *fleet.followers[::3]]
-    for name in third:
+    frozen = [fleet.keepers[1], *fleet.followers[::3]]
+    for name in frozen:
         fleet.freeze(name)
-    fleet.change(fleet.keepers[0], Change(7, 1, b"two"))
-    fleet.run(fleet.now + 60 * SECOND)
-    assert sum(node.in_force == 2 for node in followers(fleet)) == 8
-    for name in third:
+    fleet.submit(fleet.keepers[0], Change(7, 1, b"two"))
+    fleet.run_until(fleet.now + 60 * SECOND)
+    assert sum(node.applied_number == 2 for node in followers(fleet)) == 8
+    for name in frozen:
         fleet.wake(name)
-    fleet.run(fleet.now + BOUND)
-    assert {node.in_force for node in followers(fleet)} == {2}
-    assert fleet.faults_of_versions() == []
+    fleet.run_until(fleet.now + IN_FORCE_WITHIN)
+    assert {node.applied_number for node in followers(fleet)} == {2}
+    assert fleet.consistency_violations() == []
 
 
-def test_what_is_sent_unasked_and_lost_is_asked_for_within_the_bound() -> None:
+def test_a_lost_push_is_made_up_by_polling_in_time() -> None:
     fleet = fleet_with_first()
-    fleet.change(fleet.keepers[0], Change(7, 1, b"two"))
-    while fleet.committed() < 2:
-        fleet.run(fleet.now + 1)
+    fleet.submit(fleet.keepers[0], Change(7, 1, b"two"))
+    while fleet.last_committed() < 2:
+        fleet.run_until(fleet.now + 1)
     fleet.faults.entries.append(Fault(fleet.now, fleet.now + SECOND // 2, target="b*", lose=1.0))
-    fleet.run(fleet.now + BOUND)
-    assert {node.in_force for node in followers(fleet)} == {2}
+    fleet.run_until(fleet.now + IN_FORCE_WITHIN)
+    assert {node.applied_number for node in followers(fleet)} == {2}
 
 
-# The keeper alone
+# Keeper
 
 KEEPERS = ("k0", "k1", "k2", "k3")
 
 
-def keeper(stored: Stored | None = None) -> Keeper:
-    return Keeper("k1", KEEPERS, Bounds(), check, 1, 0, stored)
+def new_keeper(saved_state: PersistentState | None = None) -> Keeper:
+    return Keeper("k1", KEEPERS, Parameters(), validate, 1, 0, saved_state)
 
 
 def sent(actions: list, kind: type) -> list:
     return [action.message for action in actions if type(action) is Send and type(action.message) is kind]
 
 
-def test_what_is_promised_or_accepted_is_on_the_disk_before_it_is_said_and_outlives_a_restart() -> None:
-    one = keeper()
-    actions = one.handle(1, Came("k3", Prepare((4, 3))))
+def test_promises_and_accepted_versions_are_saved_before_the_answer_and_survive_a_restart() -> None:
+    keeper = new_keeper()
+    actions = keeper.handle(1, Received("k3", Prepare((4, 3))))
     assert [type(action) for action in actions[:2]] == [Save, Send]
-    again = keeper(actions[0].state)
-    assert sent(again.handle(2, Came("k0", Prepare((4, 0)))), Refusal) == [Refusal((4, 0), (4, 3))]
-    assert sent(again.handle(3, Came("k0", Accept((4, 0), Version(1, b"x")))), Refusal)
-    actions = again.handle(4, Came("k3", Accept((4, 3), Version(1, b"x"))))
+    restarted = new_keeper(actions[0].state)
+    assert sent(restarted.handle(2, Received("k0", Prepare((4, 0)))), Nack) == [Nack((4, 0), (4, 3))]
+    assert sent(restarted.handle(3, Received("k0", Accept((4, 0), Version(1, b"x")))), Nack)
+    actions = restarted.handle(4, Received("k3", Accept((4, 3), Version(1, b"x"))))
     assert [type(action) for action in actions[:2]] == [Save, Send]
-    last = keeper(actions[0].state)
-    (promise,) = sent(last.handle(5, Came("k0", Prepare((5, 0)))), Promise)
+    restarted_twice = new_keeper(actions[0].state)
+    (promise,) = sent(restarted_twice.handle(5, Received("k0", Prepare((5, 0)))), Promise)
     assert promise == Promise((5, 0), (4, 3), Version(1, b"x"))
 
 
-def test_a_keeper_stale_by_an_hour_tells_no_version_before_it_has_caught_up() -> None:
-    old = Version(5, b"old")
-    one = keeper(Stored(committed=old, accepted=old, accepted_in=(1, 0), promised=(1, 0)))
-    (read, *_) = sent(one.handle(0, Tick()), Read)
-    answer = ReadAnswer(read.nonce, 5, 5)
-    one.handle(10, Came("k0", answer))
-    assert sent(one.handle(20, Came("b", Ask(3, 0, 0))), Tell) == [Tell(3, True, 5, b"old")]
-    # An hour later: what waited in its sockets comes first.
-    assert sent(one.handle(HOUR, Came("b", Ask(4, 0, 0))), Tell) == [Tell(4, False)]
-    (read, *_) = sent(one.handle(HOUR + 1 + SECOND, Tick()), Read)
+def test_a_keeper_that_was_stale_for_an_hour_sends_no_version_before_a_new_quorum_read() -> None:
+    old_version = Version(5, b"old")
+    keeper = new_keeper(
+        PersistentState(
+            committed_version=old_version,
+            accepted_version=old_version,
+            accepted_ballot=(1, 0),
+            promised_ballot=(1, 0),
+        )
+    )
+    (request, *_) = sent(keeper.handle(0, Tick()), ReadRequest)
+    response = ReadResponse(request.nonce, 5, 5)
+    keeper.handle(10, Received("k0", response))
+    assert sent(keeper.handle(20, Received("b", Poll(3, 0, 0))), Update) == [Update(3, True, 5, b"old")]
+    # An hour later, messages that waited in its sockets arrive before any newer response.
+    assert sent(keeper.handle(HOUR, Received("b", Poll(4, 0, 0))), Update) == [Update(4, False)]
+    (request, *_) = sent(keeper.handle(HOUR + 1 + SECOND, Tick()), ReadRequest)
     now = HOUR + 2 + SECOND
-    one.handle(now, Came("k0", answer))
-    one.handle(now, Came("k2", answer))
-    assert not one.is_fresh(now)
-    # One that has accepted more than is known to be committed doesn't count either.
-    one.handle(now, Came("k2", ReadAnswer(read.nonce, 5, 6)))
-    assert not one.is_fresh(now)
-    one.handle(now, Came("k3", ReadAnswer(read.nonce, 6, 6, Version(6, b"new"))))
-    assert one.is_fresh(now)
-    assert sent(one.handle(now, Came("b", Ask(5, 5, 0))), Tell) == [Tell(5, True, 6, b"new")]
-
-
-def test_of_what_others_accepted_that_of_the_highest_ballot_is_proposed_not_the_highest_number() -> None:
-    """6 was accepted in ballot 2, 5 in ballot 3: so no majority had that 6, and none ever will."""
-    one = keeper()
-    one.handle(0, Change(7, 5, b"mine"))
-    ballot = one.state.promised
-    one.handle(2, Came("k0", Promise(ballot, (2, 0), Version(6, b"lost"))))
-    actions = one.handle(3, Came("k2", Promise(ballot, (3, 2), Version(5, b"five"))))
+    keeper.handle(now, Received("k0", response))
+    keeper.handle(now, Received("k2", response))
+    assert not keeper.is_fresh(now)
+    # Nor does an answer count that shows an accepted version beyond the committed one.
+    keeper.handle(now, Received("k2", ReadResponse(request.nonce, 5, 6)))
+    assert not keeper.is_fresh(now)
+    keeper.handle(now, Received("k3", ReadResponse(request.nonce, 6, 6, Version(6, b"new"))))
+    assert keeper.is_fresh(now)
+    assert sent(keeper.handle(now, Received("b", Poll(5, 5, 0))), Update) == [Update(5, True, 6, b"new")]
+
+
+def test_the_accepted_version_of_the_highest_ballot_is_proposed_not_the_highest_number() -> None:
+    """Version 6 was accepted in ballot 2, 5 in ballot 3: no majority had that 6, and none ever will."""
+    keeper = new_keeper()
+    keeper.handle(0, Change(7, 5, b"mine"))
+    ballot = keeper.state.promised_ballot
+    keeper.handle(2, Received("k0", Promise(ballot, (2, 0), Version(6, b"lost"))))
+    actions = keeper.handle(3, Received("k2", Promise(ballot, (3, 2), Version(5, b"five"))))
     assert {message.version for message in sent(actions, Accept)} == {Version(6, b"mine", b"five")}
 
 
-def test_a_ballot_ends_once_a_higher_one_has_the_promise() -> None:
-    one = keeper()
-    one.handle(0, Change(7, 0, b"mine"))
-    ballot = one.state.promised
-    one.handle(1, Came("k3", Prepare((ballot[0] + 1, 3))))
-    one.handle(2, Came("k0", Promise(ballot, (0, 0), Version())))
-    assert sent(one.handle(3, Came("k2", Promise(ballot, (0, 0), Version()))), Accept) == []
-    assert one.state.accepted == Version()
-
-
-def test_what_is_committed_never_goes_back() -> None:
-    one = keeper()
-    one.handle(1, Came("k0", Committed(Version(5, b"five"))))
-    assert one.handle(2, Came("k0", Committed(Version(4, b"four")))) == []
-    assert one.committed == Version(5, b"five")
-
-
-def test_of_five_keepers_one_answer_makes_no_read() -> None:
-    """Two others may be those without which the other three committed."""
-    one = Keeper("k1", (*KEEPERS, "k4"), Bounds(), check, 1, 0)
-    (read, *_) = sent(one.handle(0, Tick()), Read)
-    one.handle(1, Came("k0", ReadAnswer(read.nonce, 0, 0)))
-    one.handle(2, Came("k0", ReadAnswer(read.nonce, 0, 0)))
-    assert not one.is_fresh(2)
-    one.handle(3, Came("k2", ReadAnswer(read.nonce, 0, 0)))
-    assert one.is_fresh(3)
-
-
-def test_what_is_lost_within_a_ballot_is_said_again_to_those_that_have_not_answered() -> None:
-    one = keeper()
-    one.handle(0, Change(7, 0, b"mine"))
-    ballot = one.state.promised
-    one.handle(1, Came("k0", Promise(ballot, (0, 0), Version())))
-    again = one.handle(SECOND // 10, Tick())
-    assert [action.target for action in again if type(action.message) is Prepare] == ["k2", "k3"]
-    one.handle(SECOND // 10 + 1, Came("k2", Promise(ballot, (0, 0), Version())))
-    one.handle(SECOND // 10 + 2, Came("k0", Accepted(ballot)))
-    again = one.handle(SECOND // 5, Tick())
-    assert [action.target for action in again if type(action.message) is Accept] == ["k2", "k3"]
-
-
-def test_who_is_in_doubt_leaves_it_to_another_s_ballot_as_long_as_one_is_heard_of() -> None:
-    """Four that all began ballots ended one another's for 15 s."""
-    one = keeper()
-    one.handle(0, Came("k0", Accept((1, 0), Version(1, b"x"))))
+def test_a_ballot_ends_once_a_higher_one_has_been_promised() -> None:
+    keeper = new_keeper()
+    keeper.handle(0, Change(7, 0, b"mine"))
+    ballot = keeper.state.promised_ballot
+    keeper.handle(1, Received("k3", Prepare((ballot[0] + 1, 3))))
+    keeper.handle(2, Received("k0", Promise(ballot, (0, 0), Version())))
+    assert sent(keeper.handle(3, Received("k2", Promise(ballot, (0, 0), Version()))), Accept) == []
+    assert keeper.state.accepted_version == Version()
+
+
+def test_the_committed_version_never_goes_back() -> None:
+    keeper = new_keeper()
+    keeper.handle(1, Received("k0", Committed(Version(5, b"five"))))
+    assert keeper.handle(2, Received("k0", Committed(Version(4, b"four")))) == []
+    assert keeper.committed_version == Version(5, b"five")
+
+
+def test_with_five_keepers_one_answer_is_no_read_quorum() -> None:
+    """The other three keepers may be a majority that has committed a newer version."""
+    keeper = Keeper("k1", (*KEEPERS, "k4"), Parameters(), validate, 1, 0)
+    (request, *_) = sent(keeper.handle(0, Tick()), ReadRequest)
+    keeper.handle(1, Received("k0", ReadResponse(request.nonce, 0, 0)))
+    keeper.handle(2, Received("k0", ReadResponse(request.nonce, 0, 0)))
+    assert not keeper.is_fresh(2)
+    keeper.handle(3, Received("k2", ReadResponse(request.nonce, 0, 0)))
+    assert keeper.is_fresh(3)
+
+
+def test_ballot_messages_are_resent_to_keepers_that_have_not_answered() -> None:
+    keeper = new_keeper()
+    keeper.handle(0, Change(7, 0, b"mine"))
+    ballot = keeper.state.promised_ballot
+    keeper.handle(1, Received("k0", Promise(ballot, (0, 0), Version())))
+    actions = keeper.handle(SECOND // 10, Tick())
+    assert [action.target for action in actions if type(action.message) is Prepare] == ["k2", "k3"]
+    keeper.handle(SECOND // 10 + 1, Received("k2", Promise(ballot, (0, 0), Version())))
+    keeper.handle(SECOND // 10 + 2, Received("k0", Accepted(ballot)))
+    actions = keeper.handle(SECOND // 5, Tick())
+    assert [action.target for action in actions if type(action.message) is Accept] == ["k2", "k3"]
+
+
+def test_recovery_is_postponed_while_another_keeper_runs_ballots() -> None:
+    """Four keepers that all started recovery ballots pre-empted one another for 15 s."""
+    keeper = new_keeper()
+    keeper.handle(0, Received("k0", Accept((1, 0), Version(1, b"x"))))
     for at in range(1, 6):
         now = at * SECOND * 9 // 10
-        one.handle(now, Came("k3", Prepare((1 + at, 3))))
-        assert one.state.promised == (1 + at, 3)
-    assert sent(one.handle(now + SECOND * 9 // 10, Tick()), Prepare) == []
-    assert sent(one.handle(now + SECOND * 3 // 2, Tick()), Prepare)
+        keeper.handle(now, Received("k3", Prepare((1 + at, 3))))
+        assert keeper.state.promised_ballot == (1 + at, 3)
+    assert sent(keeper.handle(now + SECOND * 9 // 10, Tick()), Prepare) == []
+    assert sent(keeper.handle(now + SECOND * 3 // 2, Tick()), Prepare)
 
 
-def test_a_doubt_ends_with_a_later_ballot_that_brings_an_older_version() -> None:
-    one = keeper()
-    (read, *_) = sent(one.handle(0, Tick()), Read)
-    one.handle(1, Came("k3", ReadAnswer(read.nonce, 0, 6)))
+def test_a_version_in_doubt_is_settled_by_a_later_ballot_that_commits_an_older_number() -> None:
+    keeper = new_keeper()
+    (request, *_) = sent(keeper.handle(0, Tick()), ReadRequest)
+    keeper.handle(1, Received("k3", ReadResponse(request.nonce, 0, 6)))
     now = 2 * SECOND
-    one.handle(now, Tick())
-    ballot = one.state.promised
+    keeper.handle(now, Tick())
+    ballot = keeper.state.promised_ballot
     for name in ("k0", "k2"):
-        one.handle(now + 1, Came(name, Promise(ballot, (3, 2), Version(5, b"five"))))
+        keeper.handle(now + 1, Received(name, Promise(ballot, (3, 2), Version(5, b"five"))))
     for name in ("k0", "k2"):
-        one.handle(now + 2, Came(name, Accepted(ballot)))
-    assert (one.committed.number, one.due) == (5, one.read_at)
+        keeper.handle(now + 2, Received(name, Accepted(ballot)))
+    assert (keeper.committed_version.number, keeper.due_at) == (5, keeper.next_read_at)
 
 
-def test_what_was_sent_unasked_is_not_sent_again_while_it_may_be_under_way() -> None:
-    one = keeper()
-    (read, *_) = sent(one.handle(0, Tick()), Read)
-    one.handle(1, Came("k0", ReadAnswer(read.nonce, 0, 0)))
-    one.handle(2, Came("b", Ask(1, 0, 0)))
-    assert sent(one.handle(3, Came("k0", Committed(Version(1, b"x")))), Tell) == [Tell(0, True, 1, b"x")]
-    assert sent(one.handle(4, Came("b", Ask(2, 0, 0))), Tell) == [Tell(2, True, 1)]
-    now = 3 + Bounds().answer_within
-    assert sent(one.handle(now, Came("b", Ask(3, 0, 0))), Tell) == [Tell(3, True, 1, b"x")]
+def test_a_pushed_version_is_not_sent_again_while_it_may_be_in_flight() -> None:
+    keeper = new_keeper()
+    (request, *_) = sent(keeper.handle(0, Tick()), ReadRequest)
+    keeper.handle(1, Received("k0", ReadResponse(request.nonce, 0, 0)))
+    keeper.handle(2, Received("b", Poll(1, 0, 0)))
+    assert sent(keeper.handle(3, Received("k0", Committed(Version(1, b"x")))), Update) == [
+        Update(0, True, 1, b"x")
+    ]
+    assert sent(keeper.handle(4, Received("b", Poll(2, 0, 0))), Update) == [Update(2, True, 1)]
+    now = 3 + Parameters().answer_within
+    assert sent(keeper.handle(now, Received("b", Poll(3, 0, 0))), Update) == [Update(3, True, 1, b"x")]
 
 
-def test_a_withdrawal_goes_back_past_what_was_refused_before() -> None:
-    one = keeper()
+def test_a_withdrawal_skips_a_version_that_was_refused_as_well() -> None:
+    keeper = new_keeper()
     last = Version(2, b"bad", b"first")
     for at in range(3):
-        assert one.good_of(last) == b"bad"
-        one.handle(1 + at, Came(f"b{at}", Ask(1, 1, 2)))
-    assert one.good_of(last) == b"first"
+        assert keeper.rollback_content_after(last) == b"bad"
+        keeper.handle(1 + at, Received(f"b{at}", Poll(1, 1, 2)))
+    assert keeper.rollback_content_after(last) == b"first"
 
 
-def test_an_ordinary_change_waits_for_nobody_s_turn() -> None:
-    """Four ways between keepers, one to the followers, 40 ms each at the most."""
+def test_an_ordinary_change_is_applied_without_waiting_for_a_timer() -> None:
+    """Four messages between keepers and one to the followers, each at most 40 ms late."""
     fleet = fleet_with_first()
-    asked = fleet.now
-    fleet.change(fleet.keepers[0], Change(7, 1, b"two"))
-    fleet.run(asked + SECOND // 4)
-    assert {node.in_force for node in followers(fleet)} == {2}
+    submitted_at = fleet.now
+    fleet.submit(fleet.keepers[0], Change(7, 1, b"two"))
+    fleet.run_until(submitted_at + SECOND // 4)
+    assert {node.applied_number for node in followers(fleet)} == {2}
 
 
-def test_only_a_keeper_is_heard_as_one() -> None:
-    one = keeper()
+def test_keeper_messages_from_other_sources_are_ignored() -> None:
+    keeper = new_keeper()
     for message in (
         Prepare((4, 3)),
         Accept((4, 3), Version(1, b"x")),
         Committed(Version(1, b"x")),
         Accepted((1, 1)),
     ):
-        one.handle(1, Came("b7", message))
-    assert one.state == Stored()
+        keeper.handle(1, Received("b7", message))
+    assert keeper.state == PersistentState()
 
 
-# The follower alone
+# Follower
 
 
-def follower(saved: Version = Version(), seed: int = 1) -> Follower:  # noqa: B008 (it is frozen)
-    return Follower(KEEPERS, Bounds(), check, seed, 0, saved, "b.saved")
+def new_follower(saved_version: Version = Version(), seed: int = 1) -> Follower:  # noqa: B008 (it is frozen)
+    return Follower(KEEPERS, Parameters(), validate, seed, 0, saved_version, "b.saved")
 
 
-def test_a_follower_takes_only_newer_ones_saves_them_first_and_begins_with_its_last() -> None:
-    one = follower(Version(3, b"three"))
-    assert one.in_force == Version(3, b"three")
-    assert one.handle(1, Came("k0", Tell(0, True, 2, b"two"))) == []
-    assert one.handle(2, Came("k0", Tell(0, True, 3, b"other"))) == []
-    actions = one.handle(3, Came("k0", Tell(0, True, 5, b"five")))
+def test_a_follower_applies_only_newer_versions_saves_first_and_starts_with_the_saved_one() -> None:
+    follower = new_follower(Version(3, b"three"))
+    assert follower.applied_version == Version(3, b"three")
+    assert follower.handle(1, Received("k0", Update(0, True, 2, b"two"))) == []
+    assert follower.handle(2, Received("k0", Update(0, True, 3, b"other"))) == []
+    actions = follower.handle(3, Received("k0", Update(0, True, 5, b"five")))
     assert actions == [Save(Version(5, b"five")), Apply(5, b"five")]
-    assert one.handle(4, Came("k0", Tell(0, True, 4, b"four"))) == []
-    assert one.handle(5, Came("somebody", Tell(0, True, 9, b"nine"))) == []
-    assert one.handle(6, Came("k0", Tell(0, True, 5, b"five"))) == []
+    assert follower.handle(4, Received("k0", Update(0, True, 4, b"four"))) == []
+    assert follower.handle(5, Received("somebody", Update(0, True, 9, b"nine"))) == []
+    assert follower.handle(6, Received("k0", Update(0, True, 5, b"five"))) == []
 
 
-def test_a_follower_refuses_once_tells_its_keeper_at_once_and_keeps_the_last_good_one() -> None:
-    one = follower(Version(3, b"three"))
-    actions = one.handle(1, Came("k0", Tell(0, True, 4, b"bad")))
+def test_a_follower_refuses_a_version_once_reports_it_at_once_and_keeps_the_last_valid_one() -> None:
+    follower = new_follower(Version(3, b"three"))
+    actions = follower.handle(1, Received("k0", Update(0, True, 4, b"bad")))
     assert [type(action) for action in actions] == [Log, Send]
-    assert (actions[1].message.in_force, actions[1].message.refused) == (3, 4)
-    assert one.handle(2, Came("k1", Tell(0, True, 4, b"bad"))) == []
-    assert one.in_force.number == 3
-    assert one.handle(3, Came("k1", Tell(0, True, 5, b"good")))[1] == Apply(5, b"good")
+    assert (actions[1].message.applied_number, actions[1].message.refused_number) == (3, 4)
+    assert follower.handle(2, Received("k1", Update(0, True, 4, b"bad"))) == []
+    assert follower.applied_version.number == 3
+    assert follower.handle(3, Received("k1", Update(0, True, 5, b"good")))[1] == Apply(5, b"good")
 
 
-def test_a_follower_that_hears_nothing_for_an_hour_says_so_once_and_asks_all_in_turn() -> None:
-    one = follower()
-    asked: list[str] = []
+def test_a_follower_without_answers_logs_it_once_and_polls_all_keepers_in_turn() -> None:
+    follower = new_follower()
+    polled: list[str] = []
     lines: list[tuple[int, str]] = []
     now = 0
     while now < HOUR // 60:
-        now = max(now, one.due)
-        for action in one.handle(now, Tick()):
+        now = max(now, follower.due_at)
+        for action in follower.handle(now, Tick()):
             if type(action) is Send:
-                asked.append(action.target)
+                polled.append(action.target)
             if type(action) is Log:
                 lines.append((now, action.event))
-    assert lines == [(BOUND + 1, "configuration_unheard")]
-    assert set(Counter(asked).values()) <= {len(asked) // 4, len(asked) // 4 + 1}
-    assert len(asked) <= 4 * (60 / 0.9 + 1)  # all four, once in a time between two asks
-
-
-def test_late_answers_and_those_of_stale_keepers_are_no_news() -> None:
-    one = follower()
-    now = one.due
-    (send,) = one.handle(now, Tick())
-    (again,) = one.handle(now + 1, Came(send.target, Tell(send.message.nonce, False)))
-    assert again.target != send.target
-    one.handle(now + 2, Came(send.target, Tell(send.message.nonce, True)))
-    assert one.fresh_at == 0
-    one.handle(now + 3, Came(again.target, Tell(again.message.nonce, True)))
-    assert one.fresh_at == now + 1
-
-
-def test_who_knows_of_a_version_that_has_not_come_has_not_heard_the_last() -> None:
-    one = follower()
-    now = one.due
-    (send,) = one.handle(now, Tick())
-    one.handle(now + 1, Came(send.target, Tell(send.message.nonce, True, 2)))
-    assert (one.fresh_at, one.ask_at) == (0, now + 1 + Bounds().answer_within)
-
-
-def test_an_answer_that_is_later_than_the_bound_is_not_heard() -> None:
-    one = follower()
-    now = one.due
-    (send,) = one.handle(now, Tick())
-    late = now + BOUND + 1
-    assert [action.event for action in one.handle(late, Tick()) if type(action) is Log] == [
+    assert lines == [(IN_FORCE_WITHIN + 1, "configuration_unheard")]
+    assert set(Counter(polled).values()) <= {len(polled) // 4, len(polled) // 4 + 1}
+    # All four keepers once per poll interval, which is at least 0.9 s.
+    assert len(polled) <= 4 * (60 / 0.9 + 1)
+
+
+def test_answers_of_stale_keepers_do_not_make_a_follower_fresh() -> None:
+    follower = new_follower()
+    now = follower.due_at
+    (send,) = follower.handle(now, Tick())
+    (next_send,) = follower.handle(now + 1, Received(send.target, Update(send.message.nonce, False)))
+    assert next_send.target != send.target
+    follower.handle(now + 2, Received(send.target, Update(send.message.nonce, True)))
+    assert follower.fresh_at == 0
+    follower.handle(now + 3, Received(next_send.target, Update(next_send.message.nonce, True)))
+    assert follower.fresh_at == now + 1
+
+
+def test_a_follower_is_not_fresh_while_it_lacks_the_content_of_the_committed_version() -> None:
+    follower = new_follower()
+    now = follower.due_at
+    (send,) = follower.handle(now, Tick())
+    follower.handle(now + 1, Received(send.target, Update(send.message.nonce, True, 2)))
+    assert (follower.fresh_at, follower.next_poll_at) == (0, now + 1 + Parameters().answer_within)
+
+
+def test_an_answer_later_than_the_bound_does_not_make_a_follower_fresh() -> None:
+    follower = new_follower()
+    now = follower.due_at
+    (send,) = follower.handle(now, Tick())
+    late = now + IN_FORCE_WITHIN + 1
+    assert [action.event for action in follower.handle(late, Tick()) if type(action) is Log] == [
         "configuration_unheard"
     ]
-    actions = one.handle(late + 1, Came(send.target, Tell(send.message.nonce, True)))
+    actions = follower.handle(late + 1, Received(send.target, Update(send.message.nonce, True)))
     assert [action for action in actions if type(action) is Log] == []
 
 
-def test_stale_keepers_are_asked_no_more_often_than_once_each_in_the_time_between_two_asks() -> None:
-    one = follower()
-    asked = 0
-    while one.due < 10 * SECOND:
-        now = one.due
-        actions = one.handle(now, Tick())
-        while now < 10 * SECOND and (sends := [one for one in actions if type(one) is Send]):
-            asked += len(sends)
+def test_each_stale_keeper_is_polled_at_most_once_per_poll_interval() -> None:
+    follower = new_follower()
+    poll_count = 0
+    while follower.due_at < 10 * SECOND:
+        now = follower.due_at
+        actions = follower.handle(now, Tick())
+        while now < 10 * SECOND and (sends := [action for action in actions if type(action) is Send]):
+            poll_count += len(sends)
             now += 10
-            actions = one.handle(now, Came(sends[0].target, Tell(sends[0].message.nonce, False)))
-    assert asked <= 4 * (10 / 0.9 + 1)
+            actions = follower.handle(now, Received(sends[0].target, Update(sends[0].message.nonce, False)))
+    assert poll_count <= 4 * (10 / 0.9 + 1)
 
 
 @pytest.mark.parametrize(
     "message",
     [
         Prepare((1, 2)), Promise((1, 2), (0, 0), Version()), Accept((1, 2), Version(1, b"x", b"y", 0)),
-        Accepted((1, 2)), Refusal((1, 2), (3, 0)), Committed(Version(1, b"x")), Read(1, 2, [("b", 1, 0)]),
-        ReadAnswer(1, 2, 3, Version(2, b"")), Ask(1, 2, 3), Tell(1, True, 2, b"x"),
+        Accepted((1, 2)), Nack((1, 2), (3, 0)), Committed(Version(1, b"x")), ReadRequest(1, 2, [("b", 1, 0)]),
+        ReadResponse(1, 2, 3, Version(2, b"")), Poll(1, 2, 3), Update(1, True, 2, b"x"),
     ],
 )  # fmt: skip
-def test_messages_come_out_as_they_went_in(message: object) -> None:
+def test_messages_survive_encoding_and_decoding(message: object) -> None:
     assert decode(encode(message)) == message
 
 
-@pytest.mark.parametrize("title", PLAYS)
-def test_each_play_of_the_lab_is_in_force_everywhere_within_the_bound(title: str) -> None:
-    play = Play(Given(balancers=24, size=200, cut_for=15 * SECOND), 1)
-    PLAYS[title](play)
-    last = float(play.figures()[2])
-    assert last * SECOND <= BOUND
+@pytest.mark.parametrize("title", SCENARIOS)
+def test_each_scenario_of_the_lab_is_in_force_everywhere_within_the_bound(title: str) -> None:
+    run = ScenarioRun(Options(balancers=24, content_size=200, cut_duration=15 * SECOND), 1)
+    SCENARIOS[title](run)
+    last = float(run.measure()[2])
+    assert last * SECOND <= IN_FORCE_WITHIN
 
 
-def test_a_follower_costs_no_more_bytes_with_the_size_of_the_fleet() -> None:
+def test_the_bytes_per_follower_do_not_grow_with_the_fleet() -> None:
     def bytes_each(balancers: int) -> float:
-        play = Play(Given(balancers, size=200, cut_for=0), 1)
-        play.change(0, b"second")
-        return float(play.figures()[4])
+        run = ScenarioRun(Options(balancers, content_size=200, cut_duration=0), 1)
+        run.submit(0, b"second")
+        return float(run.measure()[4])
 
     assert bytes_each(60) == pytest.approx(bytes_each(12), rel=0.05)
 
 
-def test_serving_knows_nothing_of_it() -> None:
-    told = subprocess.run(
+def test_serve_does_not_import_the_configuration_package() -> None:
+    result = subprocess.run(
         [sys.executable, "-c", "import sys, thymedeck.__main__, thymedeck.net.service; print(*sys.modules)"],
         capture_output=True,
         text=True,
     )
-    assert "thymedeck.net.service" in told.stdout, told.stderr
-    assert "thymedeck.configuration" not in told.stdout
+    assert "thymedeck.net.service" in result.stdout, result.stderr
+    assert "thymedeck.configuration" not in result.stdout
 
 
-# Its file of settings
+# Settings file
 
 
-def sheet(folder: Path, **changed: object) -> str:
+def settings_file(folder: Path, **changed: object) -> str:
     path = folder / "configuration.toml"
     lines = {"keepers": [f"127.0.0.1:{7951 + at}" for at in range(4)], "saved": "last"} | changed
     path.write_text("\n".join(f"{name} = {json.dumps(value)}" for name, value in lines.items()))
     return str(path)
 
 
-def test_the_sheet_in_deploy_says_what_holds_without_it(tmp_path: Path) -> None:
-    shown = read(str(Path(__file__).parents[1] / "deploy" / "configuration.toml"))
-    assert shown.bounds == Bounds() == read(sheet(tmp_path)).bounds
-    assert read(sheet(tmp_path)).saved == tmp_path / "last"
-    assert read(sheet(tmp_path, ask_every="1500 ms")).bounds.ask_every == 15_000
+def test_the_file_in_deploy_states_the_defaults(tmp_path: Path) -> None:
+    shown = read_settings(str(Path(__file__).parents[1] / "deploy" / "configuration.toml"))
+    assert shown.parameters == Parameters() == read_settings(settings_file(tmp_path)).parameters
+    assert read_settings(settings_file(tmp_path)).saved_path == tmp_path / "last"
+    assert read_settings(settings_file(tmp_path, ask_every="1500 ms")).parameters.ask_every == 15_000
 
 
 @pytest.mark.parametrize(
     ("changed", "line"),
     [
-        ({"keepers": ["127.0.0.1:1", "127.0.0.1:2"]}, "keepers: 2, with fewer than 3 none may be lost"),
-        ({"keepers": ["127.0.0.1:1"] * 3}, "keepers: one is named twice"),
+        (
+            {"keepers": ["127.0.0.1:1", "127.0.0.1:2"]},
+            "keepers: 2, at least 3 are needed to survive the loss of one",
+        ),
+        ({"keepers": ["127.0.0.1:1"] * 3}, "keepers: an address is listed twice"),
         ({"keepers": ["there:1"] * 3}, "keepers: 'there' is no IPv4 address"),
         ({"ask_every": "1"}, "ask_every: '1' is not a figure with a unit of ms, s, min"),
-        ({"ask_every": "2 s"}, "in_force_within: '3 s' is under ask_every and answer_within of every keeper"),
-        ({"fresh_for": "1.6 s"}, "in_force_within: '3 s' is under two times fresh_for"),
-        ({"read_every": "1 s"}, "fresh_for: '1.5 s' is under two times read_every"),
-        ({"give_up_after": "2 s"}, "give_up_after: '2 s' is under in_force_within"),
-        ({"refusers": 0}, "refusers: 0 is under 1"),
-        ({"saved": ""}, "saved: no file is named"),
+        (
+            {"ask_every": "2 s"},
+            "in_force_within: '3 s' is less than ask_every plus answer_within for each keeper",
+        ),
+        ({"fresh_for": "1.6 s"}, "in_force_within: '3 s' is less than twice fresh_for"),
+        ({"read_every": "1 s"}, "fresh_for: '1.5 s' is less than twice read_every"),
+        ({"give_up_after": "2 s"}, "give_up_after: '2 s' is less than in_force_within"),
+        ({"refusers": 0}, "refusers: 0 is less than 1"),
+        ({"saved": ""}, "saved: the path is empty"),
         ({"more": 1}, "Object contains unknown field `more`"),
     ],
 )
-def test_an_unfit_sheet_is_refused_with_one_line(tmp_path: Path, changed: dict, line: str) -> None:
-    path = sheet(tmp_path, **changed)
-    with pytest.raises(UnfitSheet) as why:
-        read(path)
-    assert str(why.value) == f"{path}: {line}"
+def test_invalid_settings_are_refused_with_one_line(tmp_path: Path, changed: dict, line: str) -> None:
+    path = settings_file(tmp_path, **changed)
+    with pytest.raises(SettingsError) as error:
+        read_settings(path)
+    assert str(error.value) == f"{path}: {line}"
--- a/thymedeck/configuration/__init__.py
+++ b/thymedeck/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""One configuration of one version for a whole fleet, kept by control machines (docs/configuration.md)."""
+"""A replicated configuration register: one version for a whole fleet of balancers (docs/configuration.md)."""
--- a/thymedeck/configuration/follower.py
+++ b/thymedeck/configuration/follower.py
@@ -1,136 +1,158 @@
-"""The follower on a balancer: takes up newer committed versions, whatever repeats, overtakes or gets lost.
+"""The follower on a balancer: applies newer committed versions despite duplicates, reordering and loss.
 
-It asks one keeper at a time, and another as soon as that one is late or may be stale; what a keeper tells
-unasked is taken up as well. It never goes back, and what its check refuses is never in force.
+It polls one keeper at a time and switches to the next as soon as that one is late or may be stale; versions
+that a keeper pushes are applied as well. The applied version number never decreases, and a version that
+fails validation is never applied.
 """
 
 import random
 from collections.abc import Sequence
 
-from .messages import Action, Apply, Ask, Bounds, Came, Check, Event, Log, Save, Send, Tell, Version
-
-ASKS_KEPT = 16  # an answer to an older one counts for nothing
-JITTER = 0.1  # of the time between two asks, so that a fleet that starts at once doesn't ask at once
+from .messages import (
+    Action,
+    Apply,
+    Event,
+    Log,
+    Parameters,
+    Poll,
+    Received,
+    Save,
+    Send,
+    Update,
+    Validator,
+    Version,
+)
+
+MAX_PENDING_POLLS = 16  # answers to older polls are ignored
+POLL_JITTER = 0.1  # share of the poll interval; keeps followers that start together from polling together
 
 
 class Follower:
-    """`in_force` is the version that its balancer has in force; anybody may ask for it."""
+    """The state machine of one follower. `applied_version` is in force on its balancer."""
 
     def __init__(
         self,
         keepers: Sequence[str],
-        bounds: Bounds,
-        check: Check,
+        parameters: Parameters,
+        validate: Validator,
         seed: int,
         now: int,
-        saved: Version,
-        file: str,
+        saved_version: Version,
+        saved_file: str,
     ) -> None:
-        """`saved` is what was last in force here, checked then; `file` is where it is kept, for the log."""
-        self.bounds = bounds
-        self.check = check
-        self.file = file
-        self.chance = random.Random(seed)
+        """`saved_version` was applied and saved by an earlier run; `saved_file` is named in the log only."""
+        self.parameters = parameters
+        self.validate = validate
+        self.saved_file = saved_file
+        self.rng = random.Random(seed)
         self.keepers = list(keepers)
-        self.chance.shuffle(self.keepers)  # the first is the one that is asked
-        self.in_force = saved
-        self.refused = 0
-        self.nonce = 0  # of the ask under way; 0: none
-        self.asked_at = now
-        self.asked: dict[int, int] = {}  # when, by nonce, of those that may still be answered
-        self.failed = 0  # asks, one after the other
-        self.round_at = now  # when the first of them was made, of the last round of all keepers
-        self.ask_at = now + self.chance.randrange(bounds.ask_every)
-        self.fresh_at = now  # what was in force then was the last committed, or about to be told
-        self.is_unheard = False  # as last told
+        self.rng.shuffle(self.keepers)  # the first one is polled
+        self.applied_version = saved_version
+        self.refused_number = 0
+        self.pending_nonce = 0  # of the poll in flight; 0: none
+        self.polled_at = now
+        self.poll_times: dict[int, int] = {}  # nonce to send time, for polls whose answer still counts
+        self.failed_polls = 0  # consecutive
+        self.round_started_at = now  # first poll of the current round through all keepers
+        self.next_poll_at = now + self.rng.randrange(parameters.ask_every)
+        self.fresh_at = now  # last time at which the applied version was known to be the last committed one
+        self.is_stale = False  # as last logged
 
     @property
-    def due(self) -> int:
-        next_ask = self.asked_at + self.bounds.answer_within if self.nonce else self.ask_at
-        return next_ask if self.is_unheard else min(next_ask, self.quiet_at)
+    def due_at(self) -> int:
+        poll_due_at = (
+            self.polled_at + self.parameters.answer_within if self.pending_nonce else self.next_poll_at
+        )
+        return poll_due_at if self.is_stale else min(poll_due_at, self.stale_at)
 
     @property
-    def quiet_at(self) -> int:
-        return self.fresh_at + self.bounds.in_force_within + 1
+    def stale_at(self) -> int:
+        return self.fresh_at + self.parameters.in_force_within + 1
 
     def handle(self, now: int, event: Event) -> list[Action]:
         actions: list[Action] = []
-        if isinstance(event, Came) and isinstance(event.message, Tell) and event.source in self.keepers:
-            self.take(now, event.message, actions)
-        if self.nonce and now - self.asked_at >= self.bounds.answer_within:
-            self.turn_to_next(now)
-        if not self.nonce and now >= self.ask_at:
-            self.ask(now, actions)
-        if now >= self.quiet_at and not self.is_unheard:
-            self.is_unheard = True
+        if isinstance(event, Received) and isinstance(event.message, Update) and event.source in self.keepers:
+            self.on_update(now, event.message, actions)
+        if self.pending_nonce and now - self.polled_at >= self.parameters.answer_within:
+            self.switch_keeper(now)
+        if not self.pending_nonce and now >= self.next_poll_at:
+            self.poll(now, actions)
+        if now >= self.stale_at and not self.is_stale:
+            self.is_stale = True
             self.log(actions, "configuration_unheard", now)
         return actions
 
     def log(self, actions: list[Action], event: str, now: int) -> None:
         actions.append(
-            Log(event, {"number": self.in_force.number, "unheard_ms": (now - self.fresh_at) // 10})
+            Log(event, {"number": self.applied_version.number, "unheard_ms": (now - self.fresh_at) // 10})
         )
 
-    def ask(self, now: int, actions: list[Action]) -> None:
-        self.nonce = self.chance.getrandbits(48) | 1
-        self.asked_at = self.asked[self.nonce] = now
-        if len(self.asked) > ASKS_KEPT:
-            del self.asked[next(iter(self.asked))]
-        ask = Ask(self.nonce, self.in_force.number, self.refused)
-        actions.append(Send(self.keepers[0], ask))
-
-    def turn_to_next(self, now: int) -> None:
-        """At once, until all have been asked: no round of all is shorter than the time between two asks."""
-        self.nonce = 0
+    def poll(self, now: int, actions: list[Action]) -> None:
+        self.pending_nonce = self.rng.getrandbits(48) | 1
+        self.polled_at = self.poll_times[self.pending_nonce] = now
+        if len(self.poll_times) > MAX_PENDING_POLLS:
+            del self.poll_times[next(iter(self.poll_times))]
+        poll = Poll(self.pending_nonce, self.applied_version.number, self.refused_number)
+        actions.append(Send(self.keepers[0], poll))
+
+    def switch_keeper(self, now: int) -> None:
+        """Polls the next keeper at once; a round through all of them takes at least one poll interval."""
+        self.pending_nonce = 0
         self.keepers.append(self.keepers.pop(0))
-        if not self.failed % len(self.keepers):
-            self.round_at = self.asked_at
-        self.failed += 1
-        self.ask_at = now if self.failed % len(self.keepers) else max(now, self.next_ask(self.round_at))
-
-    def next_ask(self, since: int) -> int:
-        return since + round(self.bounds.ask_every * self.chance.uniform(1 - JITTER, 1))
-
-    def take(self, now: int, tell: Tell, actions: list[Action]) -> None:
-        refused_before = self.refused
-        if tell.content is not None and tell.number > max(self.in_force.number, self.refused):
-            self.take_up(now, Version(tell.number, tell.content), actions)
-        is_news = self.refused != refused_before
-        if is_news:
-            self.ask_at = now  # keepers withdraw what the first few refuse
-        if tell.nonce not in self.asked:
+        if not self.failed_polls % len(self.keepers):
+            self.round_started_at = self.polled_at
+        self.failed_polls += 1
+        self.next_poll_at = (
+            now
+            if self.failed_polls % len(self.keepers)
+            else max(now, self.poll_time_after(self.round_started_at))
+        )
+
+    def poll_time_after(self, since: int) -> int:
+        return since + round(self.parameters.ask_every * self.rng.uniform(1 - POLL_JITTER, 1))
+
+    def on_update(self, now: int, update: Update, actions: list[Action]) -> None:
+        refused_before = self.refused_number
+        if update.content is not None and update.number > max(
+            self.applied_version.number, self.refused_number
+        ):
+            self.validate_and_apply(now, Version(update.number, update.content), actions)
+        is_newly_refused = self.refused_number != refused_before
+        if is_newly_refused:
+            self.next_poll_at = now  # reports the refusal: keepers withdraw a version after a few of them
+        if update.nonce not in self.poll_times:
             return
-        asked_at = self.asked.pop(tell.nonce)
-        is_last = tell.nonce == self.nonce
-        if not tell.is_fresh:
-            if is_last:
-                self.turn_to_next(now)
+        polled_at = self.poll_times.pop(update.nonce)
+        is_current_poll = update.nonce == self.pending_nonce
+        if not update.is_fresh:
+            if is_current_poll:
+                self.switch_keeper(now)
             return
-        if is_last:
-            self.nonce = 0
-            self.failed = 0
-            if not is_news:
-                self.ask_at = self.next_ask(asked_at)
-        if tell.number > max(self.in_force.number, self.refused):
-            if is_last:  # it was sent unasked, and is under way or lost
-                self.ask_at = now + self.bounds.answer_within
+        if is_current_poll:
+            self.pending_nonce = 0
+            self.failed_polls = 0
+            if not is_newly_refused:
+                self.next_poll_at = self.poll_time_after(polled_at)
+        if update.number > max(self.applied_version.number, self.refused_number):
+            if is_current_poll:  # the content was pushed before and is in flight or lost
+                self.next_poll_at = now + self.parameters.answer_within
             return
-        self.fresh_at = max(self.fresh_at, asked_at)
-        if self.is_unheard and now < self.quiet_at:
-            self.is_unheard = False
+        self.fresh_at = max(self.fresh_at, polled_at)
+        if self.is_stale and now < self.stale_at:
+            self.is_stale = False
             self.log(actions, "configuration_heard", now)
 
-    def take_up(self, now: int, version: Version, actions: list[Action]) -> None:
-        unfit = self.check(version.content)
-        if unfit is not None:
-            self.refused = version.number
+    def validate_and_apply(self, now: int, version: Version, actions: list[Action]) -> None:
+        failure = self.validate(version.content)
+        if failure is not None:
+            self.refused_number = version.number
             fields = {
-                "file": self.file,
+                "file": self.saved_file,
                 "number": version.number,
-                "entry": unfit.entry,
-                "reason": unfit.reason,
+                "entry": failure.entry,
+                "reason": failure.reason,
             }
             actions.append(Log("configuration_refused", fields))
             return
-        self.in_force = version
+        self.applied_version = version
         actions += (Save(version), Apply(version.number, version.content))
--- a/thymedeck/configuration/keeper.py
+++ b/thymedeck/configuration/keeper.py
@@ -1,12 +1,13 @@
-"""The keeper on a control machine: a register of the last version, replicated among all keepers.
+"""The keeper on a control machine: one replica of the configuration register, which holds the last version.
 
 Each change is a round of Paxos with a ballot of its own (Lamport, *Paxos made simple*, 2001) on one register
 whose next value is made from its last (Rystsov, *CASPaxos: replicated state machines without logs*, 2018). A
-version is committed once a majority has stored it. Only the last is in force anywhere, so no log is kept.
+version is committed once a majority has stored it. Only the last version is ever applied, so there is no log.
 
-A read that n - majority + 1 keepers answer meets every majority (Howard and others, *Flexible Paxos*,
-2016): who had that answer within `fresh_for`, and heard of no accepted version beyond its committed one, knew
-the last committed one when it asked. Who had not tells no version.
+A read quorum of n - majority + 1 keepers intersects every majority (Howard and others, *Flexible Paxos*,
+2016). A keeper that had such a quorum of answers to a read, none of which showed an accepted version beyond
+its own committed one, knew the last committed version when it sent that read. It is fresh for `fresh_for`
+from then on, and sends versions to followers only while it is fresh.
 """
 
 import random
@@ -20,246 +21,251 @@
     Accept,
     Accepted,
     Action,
-    Answer,
-    Ask,
     Ballot,
-    Bounds,
-    Came,
     Change,
-    Check,
+    ChangeResult,
     Committed,
     Event,
     Log,
     Message,
+    Nack,
     Outcome,
+    Parameters,
+    PersistentState,
+    Poll,
     Prepare,
     Promise,
-    Read,
-    ReadAnswer,
-    Refusal,
+    ReadRequest,
+    ReadResponse,
+    Received,
     Save,
     Send,
-    Stored,
-    Tell,
+    Update,
+    Validator,
     Version,
 )
 
-ROUND_WITHIN = SECOND  # a ballot is given up after this
-BACK_OFF = SECOND * 3 // 10  # until another is begun, by chance up to this
-GROWS = 8  # times at the most, both of them: twice with each ballot that failed
-SAY_AGAIN = SECOND // 10  # within a ballot, to those that have not answered
-RECOVER_AFTER = (
-    SECOND  # a version that is accepted and not known to be committed is proposed again after this
-)
-RECOVER_SPREAD = SECOND // 2  # and by chance up to this: not by all keepers at once
-READS_KEPT = 4  # answers to older ones count for nothing
-FORGET_AFTER = 2 * 3600 * SECOND  # a follower that is not heard of
+BALLOT_TIMEOUT = SECOND
+MAX_BACKOFF = SECOND * 3 // 10  # upper end of the random delay before the next ballot
+MAX_GROWTH = 8  # both of the above double with each failed ballot, up to this factor
+RESEND_INTERVAL = SECOND // 10  # of a ballot's message, to keepers that have not answered
+RECOVERY_DELAY = SECOND  # after this an accepted version not known to be committed is proposed again
+RECOVERY_JITTER = SECOND // 2  # random addition to it, so that not all keepers recover at once
+MAX_PENDING_READS = 4  # answers to older reads are ignored
+FORGET_FOLLOWER_AFTER = 2 * 3600 * SECOND
 
 
-class Wanted(Struct):
-    """A change that waits for its commit. `token` -1: a withdrawal of our own."""
+class PendingChange(Struct):
+    """A change that is not committed yet. `token` -1: a withdrawal that this keeper began."""
 
     token: int
     base: int
     content: bytes
-    until: int
-    withdraws: int = 0
-    was_sent: bool = False  # an accept may have been stored somewhere
+    deadline: int
+    withdrawn_number: int = 0
+    is_proposed: bool = False  # an Accept for it may have been stored somewhere
 
 
 class Proposal(Struct):
+    """The ballot that this keeper is running."""
+
     ballot: Ballot
-    wanted: Wanted | None  # None: what is there is to be committed as it is
-    until: int
-    again_at: int
+    change: PendingChange | None  # None: recovery, which commits the accepted version unchanged
+    deadline: int
+    resend_at: int
     promises: dict[str, tuple[Ballot, Version]]
-    version: Version | None = None  # once a majority has promised
+    version: Version | None = None  # set once a majority has promised
     accepted_by: set[str] = set()
 
 
-class Report(Struct):
-    """What a follower has in force, as it told a keeper."""
+class FollowerReport(Struct):
+    """What a follower has applied and refused, as reported to a keeper."""
 
-    at: int
-    in_force: int
-    refused: int
-    sent: int = 0  # the last version that was sent to it
+    received_at: int
+    applied_number: int
+    refused_number: int
+    sent_number: int = 0  # the last version sent to the follower
     sent_at: int = 0
 
 
 class Keeper:
+    """The state machine of one keeper: proposer, acceptor and learner, and server of its followers."""
+
     def __init__(
-        self, name: str, keepers: Sequence[str], bounds: Bounds, check: Check, seed: int, now: int,
-        stored: Stored | None = None,
+        self, name: str, keepers: Sequence[str], parameters: Parameters, validate: Validator, seed: int,
+        now: int, saved_state: PersistentState | None = None,
     ) -> None:  # fmt: skip
-        """`keepers` are all of them, in an order that all have alike."""
+        """`keepers` are the names of all keepers, in the same order on every machine."""
         self.name = name
         self.index = keepers.index(name)
-        self.others = [one for one in keepers if one != name]
+        self.other_keepers = [keeper for keeper in keepers if keeper != name]
         self.majority = len(keepers) // 2 + 1
         self.read_quorum = len(keepers) - self.majority + 1
-        self.bounds = bounds
-        self.check = check
-        self.chance = random.Random(seed)
-        self.state = stored or Stored()
+        self.parameters = parameters
+        self.validate = validate
+        self.rng = random.Random(seed)
+        self.state = saved_state or PersistentState()
         self.actions: list[Action] = []
-        self.highest = self.state.promised  # ballot that was heard of
+        self.highest_ballot = self.state.promised_ballot  # highest one seen
         self.proposal: Proposal | None = None
-        self.wants: list[Wanted] = []
-        self.begin_at = now  # no ballot before
-        self.failed = 0  # ballots, one after the other
-        self.in_doubt = 0  # number of a version that may be committed; at most the committed one: none
+        self.pending_changes: list[PendingChange] = []
+        self.next_ballot_at = now  # backoff: no ballot before this
+        self.failed_ballots = 0  # consecutive
+        self.in_doubt_number = 0  # a version that may be committed; no higher than the committed one: none
         self.recover_at = now
-        self.reads: dict[int, tuple[int, set[str]]] = {}  # when it was asked, and who answered
-        self.read_at = now
-        self.fresh_at = -bounds.fresh_for - 1
-        self.was_fresh: bool | None = None  # None: not told yet
+        self.pending_reads: dict[int, tuple[int, set[str]]] = {}  # nonce to send time and responders
+        self.next_read_at = now
+        self.fresh_at = -parameters.fresh_for - 1
+        self.was_fresh: bool | None = None  # as last logged; None: not logged yet
         self.committed_at = now
-        self.own: dict[str, Report] = {}  # of followers that ask this keeper
-        self.fleet: dict[str, Report] = {}  # of all
-        self.is_whole = True  # as last told
+        self.own_followers: dict[str, FollowerReport] = {}  # those that poll this keeper
+        self.all_followers: dict[str, FollowerReport] = {}  # including those that other keepers reported
+        self.is_converged = True  # as last logged
         self.handlers: dict[type, Callable[[int, str, Any], None]] = {
             Prepare: self.on_prepare,
             Promise: self.on_promise,
             Accept: self.on_accept,
             Accepted: self.on_accepted,
-            Refusal: self.on_refusal,
+            Nack: self.on_nack,
             Committed: self.on_committed,
-            Read: self.on_read,
-            ReadAnswer: self.on_read_answer,
+            ReadRequest: self.on_read_request,
+            ReadResponse: self.on_read_response,
         }
-        self.doubt(self.state.accepted.number, now)
+        self.note_accepted(self.state.accepted_version.number, now)
 
     @property
-    def committed(self) -> Version:
-        return self.state.committed
+    def committed_version(self) -> Version:
+        return self.state.committed_version
 
     @property
-    def due(self) -> int:
-        times = [self.read_at]
+    def due_at(self) -> int:
+        times = [self.next_read_at]
         if self.proposal is not None:
-            times.append(min(self.proposal.until, self.proposal.again_at))
-        elif self.wants:
-            times.append(self.begin_at)
-        elif self.in_doubt > self.committed.number:
-            times.append(max(self.begin_at, self.recover_at))
+            times.append(min(self.proposal.deadline, self.proposal.resend_at))
+        elif self.pending_changes:
+            times.append(self.next_ballot_at)
+        elif self.in_doubt_number > self.committed_version.number:
+            times.append(max(self.next_ballot_at, self.recover_at))
         return min(times)
 
     def is_fresh(self, now: int) -> bool:
-        return now - self.fresh_at <= self.bounds.fresh_for
+        return now - self.fresh_at <= self.parameters.fresh_for
 
     def handle(self, now: int, event: Event) -> list[Action]:
         self.actions = []
-        if isinstance(event, Came):
-            self.take(now, event.source, event.message)
+        if isinstance(event, Received):
+            self.on_message(now, event.source, event.message)
         elif isinstance(event, Change):
             self.on_change(now, event)
-        if now >= self.read_at:
-            self.read(now)
-            self.look_at_fleet(now)
-        self.go_on(now)
+        if now >= self.next_read_at:
+            self.send_read(now)
+            self.check_convergence(now)
+        self.advance_ballot(now)
         return self.actions
 
-    def take(self, now: int, source: str, message: Message) -> None:
-        """Only a keeper is a keeper, whatever else somebody sends."""
-        if isinstance(message, Ask):
-            self.on_ask(now, source, message)
-        elif source in self.others and type(message) in self.handlers:
+    def on_message(self, now: int, source: str, message: Message) -> None:
+        """Messages between keepers are ignored unless they come from a configured keeper."""
+        if isinstance(message, Poll):
+            self.on_poll(now, source, message)
+        elif source in self.other_keepers and type(message) in self.handlers:
             self.handlers[type(message)](now, source, message)
 
     def send(self, target: str, message: Message) -> None:
         self.actions.append(Send(target, message))
 
-    def send_all(self, message: Message) -> None:
-        for one in self.others:
-            self.send(one, message)
+    def broadcast(self, message: Message) -> None:
+        for keeper in self.other_keepers:
+            self.send(keeper, message)
 
     def log(self, event: str, **fields: int | str) -> None:
         self.actions.append(Log(event, fields))
 
     def save(self, **changed: Ballot | Version) -> None:
-        held = {name: getattr(self.state, name) for name in Stored.__struct_fields__}
-        self.state = Stored(**(held | changed))
+        fields = {name: getattr(self.state, name) for name in PersistentState.__struct_fields__}
+        self.state = PersistentState(**(fields | changed))
         self.actions.append(Save(self.state))
 
-    # Proposing
+    # Proposer
 
     def on_change(self, now: int, change: Change) -> None:
-        unfit = self.check(change.content)
-        if unfit is not None:
-            self.log("configuration_unfit", entry=unfit.entry, reason=unfit.reason, base=change.base)
-            self.actions.append(Answer(change.token, Outcome.UNFIT, self.committed.number))
+        failure = self.validate(change.content)
+        if failure is not None:
+            self.log("configuration_unfit", entry=failure.entry, reason=failure.reason, base=change.base)
+            self.actions.append(ChangeResult(change.token, Outcome.INVALID, self.committed_version.number))
             return
-        until = now + self.bounds.give_up_after
-        self.wants.append(Wanted(change.token, change.base, change.content, until))
-
-    def go_on(self, now: int) -> None:
-        """What is due of ballots."""
-        if self.proposal is not None and now >= self.proposal.until:
-            self.give_up_ballot(now)
-        if self.proposal is not None and now >= self.proposal.again_at:
-            self.say_again(now, self.proposal)
-        for wanted in [one for one in self.wants if now >= one.until]:
-            self.answer(wanted, Outcome.UNKNOWN if wanted.was_sent else Outcome.NOT_COMMITTED)
-            if self.proposal is not None and self.proposal.wanted is wanted:
-                self.give_up_ballot(now)
-        if self.proposal is None and now >= self.begin_at:
-            if self.wants:
-                self.begin(now, self.wants[0])
-            elif self.in_doubt > self.committed.number and now >= self.recover_at:
-                self.begin(now, None)
-
-    def begin(self, now: int, wanted: Wanted | None) -> None:
-        ballot = (max(self.highest, self.state.promised)[0] + 1, self.index)
-        self.save(promised=ballot)
-        promises = {self.name: (self.state.accepted_in, self.state.accepted)}
-        until = now + ROUND_WITHIN * min(1 << self.failed, GROWS)
-        self.proposal = Proposal(ballot, wanted, until, now + SAY_AGAIN, promises)
-        self.send_all(Prepare(ballot))
-
-    def say_again(self, now: int, proposal: Proposal) -> None:
-        """What was lost; whoever had it answers the same again."""
-        proposal.again_at = now + SAY_AGAIN
+        deadline = now + self.parameters.give_up_after
+        self.pending_changes.append(PendingChange(change.token, change.base, change.content, deadline))
+
+    def advance_ballot(self, now: int) -> None:
+        """Does what is due: timeouts of the ballot and of changes, resends, the next ballot."""
+        if self.proposal is not None and now >= self.proposal.deadline:
+            self.abandon_ballot(now)
+        if self.proposal is not None and now >= self.proposal.resend_at:
+            self.resend(now, self.proposal)
+        for change in [pending for pending in self.pending_changes if now >= pending.deadline]:
+            self.finish_change(change, Outcome.UNKNOWN if change.is_proposed else Outcome.NOT_COMMITTED)
+            if self.proposal is not None and self.proposal.change is change:
+                self.abandon_ballot(now)
+        if self.proposal is None and now >= self.next_ballot_at:
+            if self.pending_changes:
+                self.start_ballot(now, self.pending_changes[0])
+            elif self.in_doubt_number > self.committed_version.number and now >= self.recover_at:
+                self.start_ballot(now, None)
+
+    def start_ballot(self, now: int, change: PendingChange | None) -> None:
+        ballot = (max(self.highest_ballot, self.state.promised_ballot)[0] + 1, self.index)
+        self.save(promised_ballot=ballot)
+        promises = {self.name: (self.state.accepted_ballot, self.state.accepted_version)}
+        deadline = now + BALLOT_TIMEOUT * min(1 << self.failed_ballots, MAX_GROWTH)
+        self.proposal = Proposal(ballot, change, deadline, now + RESEND_INTERVAL, promises)
+        self.broadcast(Prepare(ballot))
+
+    def resend(self, now: int, proposal: Proposal) -> None:
+        """Repeats the message in case it was lost; a keeper that had it gives the same answer again."""
+        proposal.resend_at = now + RESEND_INTERVAL
         version = proposal.version
         message = Prepare(proposal.ballot) if version is None else Accept(proposal.ballot, version)
-        for one in self.others:
-            if one not in (proposal.promises if version is None else proposal.accepted_by):
-                self.send(one, message)
+        for keeper in self.other_keepers:
+            if keeper not in (proposal.promises if version is None else proposal.accepted_by):
+                self.send(keeper, message)
 
-    def give_up_ballot(self, now: int) -> None:
+    def abandon_ballot(self, now: int) -> None:
+        """The next ballot starts after a random, exponentially growing backoff."""
         self.proposal = None
-        self.begin_at = now + 1 + self.chance.randrange(BACK_OFF * min(1 << self.failed, GROWS))
-        self.failed = min(self.failed + 1, GROWS)
+        self.next_ballot_at = (
+            now + 1 + self.rng.randrange(MAX_BACKOFF * min(1 << self.failed_ballots, MAX_GROWTH))
+        )
+        self.failed_ballots = min(self.failed_ballots + 1, MAX_GROWTH)
 
     def on_promise(self, now: int, source: str, promise: Promise) -> None:
         proposal = self.proposal
         if proposal is None or proposal.ballot != promise.ballot or proposal.version is not None:
             return
-        proposal.promises[source] = (promise.accepted_in, promise.accepted)
+        proposal.promises[source] = (promise.accepted_ballot, promise.accepted_version)
         if len(proposal.promises) < self.majority:
             return
-        if self.state.promised != proposal.ballot:  # to another's, since
-            self.give_up_ballot(now)
+        if self.state.promised_ballot != proposal.ballot:  # this keeper has since promised a higher ballot
+            self.abandon_ballot(now)
             return
-        last = max(proposal.promises.values(), key=lambda one: one[0])[1]
-        proposal.version = self.next_version(proposal.wanted, last)
+        last = max(proposal.promises.values(), key=lambda accepted: accepted[0])[1]
+        proposal.version = self.next_version(proposal.change, last)
         proposal.accepted_by = {self.name}
-        self.save(accepted_in=proposal.ballot, accepted=proposal.version)
-        self.doubt(proposal.version.number, now)
-        self.send_all(Accept(proposal.ballot, proposal.version))
+        self.save(accepted_ballot=proposal.ballot, accepted_version=proposal.version)
+        self.note_accepted(proposal.version.number, now)
+        self.broadcast(Accept(proposal.ballot, proposal.version))
 
-    def next_version(self, wanted: Wanted | None, last: Version) -> Version:
-        if wanted is None or last.number != wanted.base:
+    def next_version(self, change: PendingChange | None, last: Version) -> Version:
+        if change is None or last.number != change.base:
             return last
-        wanted.was_sent = True
-        # Guards against two contents put in force in turn for ever: a withdrawal is not withdrawn.
-        previous = b"" if wanted.withdraws else self.good_of(last)
-        return Version(last.number + 1, wanted.content, previous, wanted.withdraws)
+        change.is_proposed = True
+        # A withdrawal can't be withdrawn; otherwise two refused contents could replace each other for ever.
+        rollback_content = b"" if change.withdrawn_number else self.rollback_content_after(last)
+        return Version(last.number + 1, change.content, rollback_content, change.withdrawn_number)
 
-    def good_of(self, last: Version) -> bytes:
-        """What a withdrawal of the one after `last` goes back to."""
-        refused = sum(one.refused == last.number for one in self.fleet.values())
-        return last.previous if refused >= self.bounds.refusers else last.content
+    def rollback_content_after(self, last: Version) -> bytes:
+        """The content that is restored if the version after `last` is withdrawn."""
+        refusals = sum(report.refused_number == last.number for report in self.all_followers.values())
+        return last.rollback_content if refusals >= self.parameters.refusers else last.content
 
     def on_accepted(self, now: int, source: str, accepted: Accepted) -> None:
         proposal = self.proposal
@@ -270,169 +276,198 @@
             return
         version = proposal.version
         self.proposal = None
-        self.failed = 0
-        self.begin_at = now
+        self.failed_ballots = 0
+        self.next_ballot_at = now
         self.learn(now, version)
-        self.in_doubt = min(self.in_doubt, version.number)  # no ballot after this brings one that was beyond
-        self.send_all(Committed(version))
-        if proposal.wanted is not None:
-            self.settle(proposal.wanted, version)
-
-    def settle(self, wanted: Wanted, version: Version) -> None:
-        if (version.number, version.content) == (wanted.base + 1, wanted.content):
-            self.answer(wanted, Outcome.COMMITTED)
-        elif wanted.was_sent and version.number > wanted.base + 1:
-            self.answer(wanted, Outcome.UNKNOWN)  # ours may have come between
+        # A higher number that was in doubt is settled: no later ballot can choose it any more.
+        self.in_doubt_number = min(self.in_doubt_number, version.number)
+        self.broadcast(Committed(version))
+        if proposal.change is not None:
+            self.resolve_change(proposal.change, version)
+
+    def resolve_change(self, change: PendingChange, version: Version) -> None:
+        if (version.number, version.content) == (change.base + 1, change.content):
+            self.finish_change(change, Outcome.COMMITTED)
+        elif change.is_proposed and version.number > change.base + 1:
+            self.finish_change(change, Outcome.UNKNOWN)  # it may have been committed before this version
         else:
-            self.answer(wanted, Outcome.OUTDATED)
+            self.finish_change(change, Outcome.CONFLICT)
 
-    def answer(self, wanted: Wanted, outcome: Outcome) -> None:
-        self.wants.remove(wanted)
-        if wanted.token >= 0:
-            self.actions.append(Answer(wanted.token, outcome, self.committed.number))
+    def finish_change(self, change: PendingChange, outcome: Outcome) -> None:
+        self.pending_changes.remove(change)
+        if change.token >= 0:
+            self.actions.append(ChangeResult(change.token, outcome, self.committed_version.number))
 
-    def on_refusal(self, now: int, _: str, refusal: Refusal) -> None:
-        self.highest = max(self.highest, refusal.promised)
-        if self.proposal is not None and self.proposal.ballot == refusal.ballot:
-            self.give_up_ballot(now)
+    def on_nack(self, now: int, _: str, nack: Nack) -> None:
+        self.highest_ballot = max(self.highest_ballot, nack.promised_ballot)
+        if self.proposal is not None and self.proposal.ballot == nack.ballot:
+            self.abandon_ballot(now)
 
-    # Accepting
+    # Acceptor
 
     def on_prepare(self, now: int, source: str, prepare: Prepare) -> None:
         state = self.state
-        if prepare.ballot < state.promised:
-            self.send(source, Refusal(prepare.ballot, state.promised))
+        if prepare.ballot < state.promised_ballot:
+            self.send(source, Nack(prepare.ballot, state.promised_ballot))
             return
-        # Guards against ballots of all keepers that end one another's: with 20 % lost that went on for 15 s.
-        self.recover_later(now)
-        self.save(promised=prepare.ballot)
-        self.send(source, Promise(prepare.ballot, state.accepted_in, state.accepted))
+        # Leaves recovery to the keeper that is already running a ballot. Competing recoveries pre-empt one
+        # another's ballots: with 20 % of messages lost that went on for 15 s.
+        self.postpone_recovery(now)
+        self.save(promised_ballot=prepare.ballot)
+        self.send(source, Promise(prepare.ballot, state.accepted_ballot, state.accepted_version))
 
     def on_accept(self, now: int, source: str, accept: Accept) -> None:
-        if accept.ballot < self.state.promised:
-            self.send(source, Refusal(accept.ballot, self.state.promised))
+        if accept.ballot < self.state.promised_ballot:
+            self.send(source, Nack(accept.ballot, self.state.promised_ballot))
             return
-        self.save(promised=accept.ballot, accepted_in=accept.ballot, accepted=accept.version)
-        self.doubt(accept.version.number, now)
+        self.save(
+            promised_ballot=accept.ballot, accepted_ballot=accept.ballot, accepted_version=accept.version
+        )
+        self.note_accepted(accept.version.number, now)
         self.send(source, Accepted(accept.ballot))
 
+    # Learner
+
     def on_committed(self, now: int, _: str, committed: Committed) -> None:
         self.learn(now, committed.version)
 
-    def doubt(self, number: int, now: int) -> None:
-        """A version of this number is accepted somewhere: it may be committed."""
-        if number > max(self.committed.number, self.in_doubt):
-            self.in_doubt = number
-            self.recover_later(now)
+    def note_accepted(self, number: int, now: int) -> None:
+        """Records that some keeper has accepted the version of this number: it may be committed."""
+        if number > max(self.committed_version.number, self.in_doubt_number):
+            self.in_doubt_number = number
+            self.postpone_recovery(now)
 
-    def recover_later(self, now: int) -> None:
-        self.recover_at = now + RECOVER_AFTER + self.chance.randrange(RECOVER_SPREAD)
+    def postpone_recovery(self, now: int) -> None:
+        self.recover_at = now + RECOVERY_DELAY + self.rng.randrange(RECOVERY_JITTER)
 
     def learn(self, now: int, version: Version) -> None:
-        """That it is committed."""
-        if version.number <= self.committed.number:
+        """Stores a committed version and pushes it to the followers that poll this keeper."""
+        if version.number <= self.committed_version.number:
             return
-        self.save(committed=version)
+        self.save(committed_version=version)
         self.committed_at = now
-        self.log("configuration_committed", number=version.number, withdraws=version.withdraws)
+        self.log("configuration_committed", number=version.number, withdraws=version.withdrawn_number)
         if self.is_fresh(now):
-            tell = Tell(0, True, version.number, version.content)
-            for name, report in self.own.items():
-                if now - report.at <= self.bounds.in_force_within and report.in_force < version.number:
-                    report.sent, report.sent_at = version.number, now
-                    self.send(name, tell)
-
-    # Reading
-
-    def read(self, now: int) -> None:
-        self.read_at = now + self.bounds.read_every
-        nonce = self.chance.getrandbits(48)
-        self.reads[nonce] = (now, set())
-        while len(self.reads) > READS_KEPT:
-            del self.reads[next(iter(self.reads))]
-        heard = [
-            (name, one.in_force, one.refused)
-            for name, one in self.own.items()
-            if now - one.at <= self.bounds.read_every  # the others count what they hear as heard now
+            update = Update(0, True, version.number, version.content)
+            for name, report in self.own_followers.items():
+                if (
+                    now - report.received_at <= self.parameters.in_force_within
+                    and report.applied_number < version.number
+                ):
+                    report.sent_number, report.sent_at = version.number, now
+                    self.send(name, update)
+
+    # Reads from other keepers
+
+    def send_read(self, now: int) -> None:
+        self.next_read_at = now + self.parameters.read_every
+        nonce = self.rng.getrandbits(48)
+        self.pending_reads[nonce] = (now, set())
+        while len(self.pending_reads) > MAX_PENDING_READS:
+            del self.pending_reads[next(iter(self.pending_reads))]
+        reports = [
+            (name, report.applied_number, report.refused_number)
+            for name, report in self.own_followers.items()
+            # Only recent reports: the other keepers date them by their arrival.
+            if now - report.received_at <= self.parameters.read_every
         ]
-        self.send_all(Read(nonce, self.committed.number, heard))
-
-    def on_read(self, now: int, source: str, read: Read) -> None:
-        for name, in_force, refused in read.reports:
-            held = self.fleet.get(name)
-            if held is None or (in_force, refused) >= (held.in_force, held.refused):
-                self.fleet[name] = Report(now, in_force, refused)
-        version = self.committed if self.committed.number > read.number else None
-        accepted = self.state.accepted.number
-        self.send(source, ReadAnswer(read.nonce, self.committed.number, accepted, version))
-
-    def on_read_answer(self, now: int, source: str, answer: ReadAnswer) -> None:
-        if answer.version is not None:
-            self.learn(now, answer.version)
-        if answer.nonce not in self.reads:  # guards against what has waited somewhere for an hour
+        self.broadcast(ReadRequest(nonce, self.committed_version.number, reports))
+
+    def on_read_request(self, now: int, source: str, request: ReadRequest) -> None:
+        for name, applied_number, refused_number in request.reports:
+            known = self.all_followers.get(name)
+            if known is None or (applied_number, refused_number) >= (
+                known.applied_number,
+                known.refused_number,
+            ):
+                self.all_followers[name] = FollowerReport(now, applied_number, refused_number)
+        version = self.committed_version if self.committed_version.number > request.committed_number else None
+        accepted_number = self.state.accepted_version.number
+        self.send(
+            source, ReadResponse(request.nonce, self.committed_version.number, accepted_number, version)
+        )
+
+    def on_read_response(self, now: int, source: str, response: ReadResponse) -> None:
+        if response.version is not None:
+            self.learn(now, response.version)
+        if response.nonce not in self.pending_reads:  # a late answer, which may be an hour old
             return
-        self.doubt(answer.accepted, now)
-        beyond = max(answer.number, answer.accepted, self.state.accepted.number)
-        if beyond > self.committed.number:
+        self.note_accepted(response.accepted_number, now)
+        highest = max(response.committed_number, response.accepted_number, self.state.accepted_version.number)
+        if highest > self.committed_version.number:
             return
-        asked_at, answered = self.reads[answer.nonce]
-        answered.add(source)
-        if len(answered) + 1 >= self.read_quorum:
-            self.fresh_at = max(self.fresh_at, asked_at)
+        sent_at, responders = self.pending_reads[response.nonce]
+        responders.add(source)
+        if len(responders) + 1 >= self.read_quorum:
+            self.fresh_at = max(self.fresh_at, sent_at)
 
     # Followers
 
-    def on_ask(self, now: int, source: str, ask: Ask) -> None:
-        report = Report(now, ask.in_force, ask.refused)
-        if source in self.own:
-            report.sent, report.sent_at = self.own[source].sent, self.own[source].sent_at
-        self.own[source] = self.fleet[source] = report
+    def on_poll(self, now: int, source: str, poll: Poll) -> None:
+        report = FollowerReport(now, poll.applied_number, poll.refused_number)
+        if source in self.own_followers:
+            report.sent_number, report.sent_at = (
+                self.own_followers[source].sent_number,
+                self.own_followers[source].sent_at,
+            )
+        self.own_followers[source] = self.all_followers[source] = report
         if not self.is_fresh(now):
-            self.send(source, Tell(ask.nonce, False))
+            self.send(source, Update(poll.nonce, False))
             return
-        version = self.committed
+        version = self.committed_version
         content = None
-        # Guards against the bytes of two: what was sent unasked crossed the ask, or it is asked for again.
-        under_way = report.sent == version.number and now - report.sent_at < self.bounds.answer_within
-        if version.number > max(ask.in_force, ask.refused) and not under_way:
+        # The content is not sent twice when a push crosses the poll; if it was lost, a later poll gets it.
+        is_in_flight = (
+            report.sent_number == version.number and now - report.sent_at < self.parameters.answer_within
+        )
+        if version.number > max(poll.applied_number, poll.refused_number) and not is_in_flight:
             content = version.content
-            report.sent, report.sent_at = version.number, now
-        self.send(source, Tell(ask.nonce, True, version.number, content))
-
-    def look_at_fleet(self, now: int) -> None:
-        fresh = self.is_fresh(now)
-        if fresh != self.was_fresh:
-            self.was_fresh = fresh
-            self.log("keeper_fresh" if fresh else "keeper_stale", number=self.committed.number)
-        for kept in (self.own, self.fleet):
-            for name in [name for name, one in kept.items() if now - one.at > FORGET_AFTER]:
-                del kept[name]
-        if not fresh:
+            report.sent_number, report.sent_at = version.number, now
+        self.send(source, Update(poll.nonce, True, version.number, content))
+
+    def check_convergence(self, now: int) -> None:
+        """Logs changes of freshness and of convergence, forgets silent followers, starts withdrawals."""
+        is_fresh = self.is_fresh(now)
+        if is_fresh != self.was_fresh:
+            self.was_fresh = is_fresh
+            self.log("keeper_fresh" if is_fresh else "keeper_stale", number=self.committed_version.number)
+        for reports in (self.own_followers, self.all_followers):
+            for name in [
+                name for name, report in reports.items() if now - report.received_at > FORGET_FOLLOWER_AFTER
+            ]:
+                del reports[name]
+        if not is_fresh:
             return
-        number = self.committed.number
-        heard = [one for one in self.fleet.values() if now - one.at <= self.bounds.in_force_within]
-        on = sum(one.in_force >= number for one in heard)
-        refused = sum(one.refused == number for one in heard)
-        self.withdraw(now, refused)
-        if now - self.committed_at <= self.bounds.in_force_within:
+        number = self.committed_version.number
+        recent = [
+            report
+            for report in self.all_followers.values()
+            if now - report.received_at <= self.parameters.in_force_within
+        ]
+        applied_count = sum(report.applied_number >= number for report in recent)
+        refused_count = sum(report.refused_number == number for report in recent)
+        self.withdraw_if_refused(now, refused_count)
+        if now - self.committed_at <= self.parameters.in_force_within:
             return
-        if (on == len(self.fleet)) != self.is_whole:
-            self.is_whole = not self.is_whole
+        if (applied_count == len(self.all_followers)) != self.is_converged:
+            self.is_converged = not self.is_converged
             self.log(
-                "configuration_whole" if self.is_whole else "configuration_split",
+                "configuration_whole" if self.is_converged else "configuration_split",
                 number=number,
-                in_force=on,
-                refused=refused,
-                behind=len(heard) - on - refused,
-                unheard=len(self.fleet) - len(heard),
+                in_force=applied_count,
+                refused=refused_count,
+                behind=len(recent) - applied_count - refused_count,
+                unheard=len(self.all_followers) - len(recent),
             )
 
-    def withdraw(self, now: int, refused: int) -> None:
-        version = self.committed
-        if refused < self.bounds.refusers or not version.previous or self.wants:
+    def withdraw_if_refused(self, now: int, refused_count: int) -> None:
+        version = self.committed_version
+        if refused_count < self.parameters.refusers or not version.rollback_content or self.pending_changes:
             return
-        self.log("configuration_withdrawn", number=version.number, refused=refused)
-        until = now + self.bounds.give_up_after
-        self.wants.append(Wanted(-1, version.number, version.previous, until, version.number))
-        # Guards against the ballots of all keepers getting into one another's way.
-        self.begin_at = max(self.begin_at, now + self.chance.randrange(BACK_OFF))
+        self.log("configuration_withdrawn", number=version.number, refused=refused_count)
+        deadline = now + self.parameters.give_up_after
+        self.pending_changes.append(
+            PendingChange(-1, version.number, version.rollback_content, deadline, version.number)
+        )
+        # All keepers notice the refusals at about the same time; a random delay keeps their ballots apart.
+        self.next_ballot_at = max(self.next_ballot_at, now + self.rng.randrange(MAX_BACKOFF))
--- a/thymedeck/configuration/messages.py
+++ b/thymedeck/configuration/messages.py
@@ -1,6 +1,8 @@
-"""What keepers and followers send one another, what happens to them and what they ask for. No I/O, no clock.
+"""Messages between keepers and followers, and the events and actions of their state machines.
 
-Times are whole tenths of a millisecond. Versions are numbered from 1; 0 is before the first.
+A keeper is a replica of the configuration register, a follower runs on a balancer and applies what is
+committed. Nothing here does I/O or reads a clock. Times are whole tenths of a millisecond. Versions are
+numbered from 1; 0 stands for the state before the first version.
 """
 
 from collections.abc import Callable
@@ -13,14 +15,18 @@
 SECOND = 10_000
 NO_BALLOT = (0, 0)
 
-Ballot = tuple[int, int]  # of the round, and of the keeper that began it
+Ballot = tuple[int, int]  # round number, then index of the proposing keeper
 
 
 class Version(Struct, array_like=True, frozen=True):
+    """One value of the register."""
+
     number: int = 0
     content: bytes = b""
-    previous: bytes = b""  # what a withdrawal puts in force again; empty: nothing does
-    withdraws: int = 0  # the number of the version that this one takes back; 0: none
+    rollback_content: bytes = (
+        b""  # content that a withdrawal of this version restores; empty: not withdrawable
+    )
+    withdrawn_number: int = 0  # number of the version that this one withdraws; 0: none
 
 
 # Between keepers
@@ -31,9 +37,11 @@
 
 
 class Promise(Struct, array_like=True, frozen=True, tag=1):
+    """Answers a Prepare with the version accepted last and the ballot in which that happened."""
+
     ballot: Ballot
-    accepted_in: Ballot
-    accepted: Version
+    accepted_ballot: Ballot
+    accepted_version: Version
 
 
 class Accept(Struct, array_like=True, frozen=True, tag=2):
@@ -45,49 +53,55 @@
     ballot: Ballot
 
 
-class Refusal(Struct, array_like=True, frozen=True, tag=4):
+class Nack(Struct, array_like=True, frozen=True, tag=4):
+    """Rejects a Prepare or an Accept because a higher ballot has been promised."""
+
     ballot: Ballot
-    promised: Ballot
+    promised_ballot: Ballot
 
 
 class Committed(Struct, array_like=True, frozen=True, tag=5):
     version: Version
 
 
-class Read(Struct, array_like=True, frozen=True, tag=6):
+class ReadRequest(Struct, array_like=True, frozen=True, tag=6):
+    """Asks for the last committed version and passes on what the sender's followers reported."""
+
     nonce: int
-    number: int  # of the last version that the asker knows to be committed
-    reports: list[tuple[str, int, int]] = []  # of its own followers: name, in force, refused
+    committed_number: int  # last version that the sender knows to be committed
+    reports: list[tuple[str, int, int]] = []  # per follower: name, applied number, refused number
 
 
-class ReadAnswer(Struct, array_like=True, frozen=True, tag=7):
+class ReadResponse(Struct, array_like=True, frozen=True, tag=7):
     nonce: int
-    number: int  # committed, as the answerer knows
-    accepted: int  # number of the version that it has accepted, committed or not
-    version: Version | None = None  # where the asker's is older
+    committed_number: int  # last version that the responder knows to be committed
+    accepted_number: int  # last version that the responder has accepted, committed or not
+    version: Version | None = None  # the committed one, if newer than the requester's
 
 
 # Between followers and keepers
 
 
-class Ask(Struct, array_like=True, frozen=True, tag=8):
-    """Who asks is told by the transport."""
+class Poll(Struct, array_like=True, frozen=True, tag=8):
+    """Asks a keeper for the committed version. The transport identifies the sender."""
 
     nonce: int
-    in_force: int
-    refused: int  # the last number that the follower's check refused; 0: none
+    applied_number: int
+    refused_number: int  # last version that the follower's validation refused; 0: none
 
 
-class Tell(Struct, array_like=True, frozen=True, tag=9):
-    """`nonce` 0: nobody asked. From a keeper that may be stale: no version at all."""
+class Update(Struct, array_like=True, frozen=True, tag=9):
+    """Answers a Poll, or is pushed with nonce 0. A keeper that may be stale sends no version."""
 
     nonce: int
     is_fresh: bool
     number: int = 0
-    content: bytes | None = None  # None: the asker has it
+    content: bytes | None = None  # None: the follower has it, or it is in flight
 
 
-Message = Prepare | Promise | Accept | Accepted | Refusal | Committed | Read | ReadAnswer | Ask | Tell
+Message = (
+    Prepare | Promise | Accept | Accepted | Nack | Committed | ReadRequest | ReadResponse | Poll | Update
+)
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message, strict=True).decode
 
@@ -95,24 +109,24 @@
 # Events
 
 
-class Came(NamedTuple):
+class Received(NamedTuple):
     source: str
     message: Message
 
 
 class Tick(NamedTuple):
-    """The time that `due` names has come."""
+    """The time given by `due_at` has been reached."""
 
 
 class Change(NamedTuple):
-    """Wanted by an operator, made on the version `base`: a compare-and-set, so no other change is undone."""
+    """An operator's change, a compare-and-set on version `base` so that it never undoes another change."""
 
     token: int
     base: int
     content: bytes
 
 
-# Actions, to be done in their order: a Save is on the disk before what comes after it is begun
+# Actions, performed in order: a Save must be durable before the next action begins
 
 
 class Send(NamedTuple):
@@ -120,21 +134,21 @@
     message: Message
 
 
-class Stored(Struct, array_like=True, frozen=True):
-    """What a keeper may not forget."""
+class PersistentState(Struct, array_like=True, frozen=True):
+    """The state of a keeper that must survive a restart."""
 
-    promised: Ballot = NO_BALLOT
-    accepted_in: Ballot = NO_BALLOT
-    accepted: Version = Version()
-    committed: Version = Version()
+    promised_ballot: Ballot = NO_BALLOT
+    accepted_ballot: Ballot = NO_BALLOT
+    accepted_version: Version = Version()
+    committed_version: Version = Version()
 
 
 class Save(NamedTuple):
-    state: Stored | Version
+    state: PersistentState | Version
 
 
 class Apply(NamedTuple):
-    """The follower's balancer has this in force from now on."""
+    """Puts a version in force on the follower's balancer."""
 
     number: int
     content: bytes
@@ -147,39 +161,43 @@
 
 class Outcome(IntEnum):
     COMMITTED = 0
-    UNFIT = 1  # refused by the check, never proposed
-    OUTDATED = 2  # made on a version that is not the last
-    NOT_COMMITTED = 3  # no majority was reached, and never will be for this one
-    UNKNOWN = 4  # no majority answered in time: it may still be committed
+    INVALID = 1  # validation failed; never proposed
+    CONFLICT = 2  # `base` is not the last version
+    NOT_COMMITTED = 3  # no majority was reached, and this change can no longer be committed
+    UNKNOWN = 4  # no majority answered in time; the change may still be committed
 
 
-class Answer(NamedTuple):
-    """To the operator; `number` is of the last committed version that the keeper knows."""
+class ChangeResult(NamedTuple):
+    """Answers an operator's change; `number` is the last version that the keeper knows to be committed."""
 
     token: int
     outcome: Outcome
     number: int
 
 
-Event = Came | Tick | Change
-Action = Send | Save | Apply | Log | Answer
+Event = Received | Tick | Change
+Action = Send | Save | Apply | Log | ChangeResult
 
 
-class Unfit(NamedTuple):
-    """Why a content can't be put in force."""
+class ValidationFailure(NamedTuple):
+    """The entry that makes a content unusable, and why."""
 
     entry: str
     reason: str
 
 
-Check = Callable[[bytes], Unfit | None]
+Validator = Callable[[bytes], ValidationFailure | None]
+
 
+class Parameters(Struct, frozen=True):
+    """Timing of the protocol; the names are those of the settings."""
 
-class Bounds(Struct, frozen=True):
-    in_force_within: int = 3 * SECOND  # of a commit, everywhere; what is not is told
-    ask_every: int = SECOND  # by a follower, of one keeper
-    answer_within: int = SECOND * 3 // 10
-    read_every: int = SECOND // 2  # by a keeper, of all others
-    fresh_for: int = SECOND * 3 // 2  # of a keeper's last read
-    give_up_after: int = 10 * SECOND  # on a change
-    refusers: int = 3  # followers whose check refuses a version until it is withdrawn
+    in_force_within: int = (
+        3 * SECOND
+    )  # from commit until every follower has applied it; violations are logged
+    ask_every: int = SECOND  # interval at which a follower polls one keeper
+    answer_within: int = SECOND * 3 // 10  # timeout of a poll
+    read_every: int = SECOND // 2  # interval at which a keeper reads from all other keepers
+    fresh_for: int = SECOND * 3 // 2  # how long a keeper may serve versions after a quorum read (a lease)
+    give_up_after: int = 10 * SECOND  # deadline of a change
+    refusers: int = 3  # followers that have to refuse a version before it is withdrawn
--- a/thymedeck/configuration/sheet.py
+++ b/thymedeck/configuration/sheet.py
@@ -1,4 +1,4 @@
-"""The file of settings for one version for all: strict TOML, times with units. Nothing reads it yet.
+"""Reads the settings of the replicated configuration: strict TOML, times with units. Not used by `serve` yet.
 
 Raises Unfit with one line that names the file, the entry and the reason.
 """
@@ -10,16 +10,16 @@
 
 from ..net.told import server_address
 from ..peers.stated import TIMES, Unfit, check_least, entry_of, figure, sheet_of
-from .messages import Bounds
+from .messages import Parameters
 
-LEAST_KEEPERS = 3
+MIN_KEEPERS = 3
 
 
-class Sheet(msgspec.Struct, forbid_unknown_fields=True):
+class SettingsFile(msgspec.Struct, forbid_unknown_fields=True):
     """The file as it is written (deploy/configuration.toml)."""
 
-    keepers: list[str]  # the addresses of all, in an order that all have alike
-    saved: str  # where the last good version is kept; relative to this file
+    keepers: list[str]  # addresses of all keepers, in the same order on every machine
+    saved: str  # where the last valid version is kept; relative to this file
     in_force_within: str = "3 s"
     ask_every: str = "1 s"
     answer_within: str = "300 ms"
@@ -29,37 +29,43 @@
     refusers: int = 3
 
 
-class Stated(msgspec.Struct, frozen=True):
-    """The same in our words."""
+class Settings(msgspec.Struct, frozen=True):
+    """The parsed settings."""
 
     keepers: tuple[str, ...]
-    saved: Path
-    bounds: Bounds
+    saved_path: Path
+    parameters: Parameters
 
 
-def read(path: str) -> Stated:
+def read_settings(path: str) -> Settings:
     """Raises Unfit."""
-    sheet: Sheet = sheet_of(path, Sheet)
+    file: SettingsFile = sheet_of(path, SettingsFile)
 
-    entry = partial(entry_of, path, sheet)
-    times = {name: entry(name, figure, TIMES) for name in Bounds.__struct_fields__ if name != "refusers"}
-    bounds = Bounds(**times, refusers=sheet.refusers)
-    keepers = entry("keepers", lambda all_: tuple("{}:{}".format(*server_address(one)) for one in all_))
-    if len(keepers) < LEAST_KEEPERS:
-        raise Unfit(f"{path}: keepers: {len(keepers)}, with fewer than {LEAST_KEEPERS} none may be lost")
+    parse = partial(entry_of, path, file)
+    times = {name: parse(name, figure, TIMES) for name in Parameters.__struct_fields__ if name != "refusers"}
+    parameters = Parameters(**times, refusers=file.refusers)
+    keepers = parse(
+        "keepers",
+        lambda listed: tuple("{}:{}".format(*server_address(address)) for address in listed),
+    )
+    if len(keepers) < MIN_KEEPERS:
+        raise Unfit(
+            f"{path}: keepers: {len(keepers)}, at least {MIN_KEEPERS} are needed to survive the loss of one"
+        )
     if len(set(keepers)) < len(keepers):
-        raise Unfit(f"{path}: keepers: one is named twice")
-    if not sheet.saved:
-        raise Unfit(f"{path}: saved: no file is named")
-    if sheet.refusers < 1:
-        raise Unfit(f"{path}: refusers: {sheet.refusers} is under 1")
-    # Each asked in turn by a follower whose ask has just been answered: the last answer has to come in time.
-    turn = bounds.ask_every + len(keepers) * bounds.answer_within
-    for name, least, why in (
-        ("in_force_within", turn, "is under ask_every and answer_within of every keeper"),
-        ("in_force_within", 2 * bounds.fresh_for, "is under two times fresh_for"),
-        ("fresh_for", 2 * bounds.read_every, "is under two times read_every"),
-        ("give_up_after", bounds.in_force_within, "is under in_force_within"),
+        raise Unfit(f"{path}: keepers: an address is listed twice")
+    if not file.saved:
+        raise Unfit(f"{path}: saved: the path is empty")
+    if file.refusers < 1:
+        raise Unfit(f"{path}: refusers: {file.refusers} is less than 1")
+    # A follower whose poll was just answered may next have to poll each keeper in turn: the last answer has
+    # to arrive in time.
+    poll_round = parameters.ask_every + len(keepers) * parameters.answer_within
+    for name, minimum, reason in (
+        ("in_force_within", poll_round, "is less than ask_every plus answer_within for each keeper"),
+        ("in_force_within", 2 * parameters.fresh_for, "is less than twice fresh_for"),
+        ("fresh_for", 2 * parameters.read_every, "is less than twice read_every"),
+        ("give_up_after", parameters.in_force_within, "is less than in_force_within"),
     ):
-        check_least(path, sheet, bounds, name, least, why)
-    return Stated(keepers, Path(path).parent / sheet.saved, bounds)
+        check_least(path, file, parameters, name, minimum, reason)
+    return Settings(keepers, Path(path).parent / file.saved, parameters)
--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -55,9 +55,9 @@
 
 
 def play_configuration(given: argparse.Namespace) -> int:
-    print("| " + " | ".join(configured.HEADS) + " |\n" + "| --- " * len(configured.HEADS) + "|")
+    print("| " + " | ".join(configured.COLUMNS) + " |\n" + "| --- " * len(configured.COLUMNS) + "|")
     cut_for = round(given.cut * talk.SECOND)
-    configured.play(configured.Given(given.balancers, given.size, cut_for), given.seed, given.play)
+    configured.run_scenarios(configured.Options(given.balancers, given.size, cut_for), given.seed, given.play)
     return 0
 
 
