--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -39,10 +39,10 @@
     decode,
     encode,
 )
-from thymedeck.configuration.sheet import read_settings
-from thymedeck.lab.configured import SCENARIOS, Options, ScenarioRun
+from thymedeck.configuration.settings import read_settings
+from thymedeck.lab.configuration_fleet import Fleet, Node
+from thymedeck.lab.configuration_scenarios import SCENARIOS, Options, ScenarioRun
 from thymedeck.lab.faults import Fault
-from thymedeck.lab.followers import Fleet, Node
 from thymedeck.peers.stated import Unfit as SettingsError
 
 IN_FORCE_WITHIN = Parameters().in_force_within
--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -4,7 +4,7 @@
 import sys
 
 from ..peers.stated import Unfit
-from . import cold, configured, talk
+from . import cold, configuration_scenarios, talk
 from .measure import measure_processes
 from .play import Run
 from .scale import command as scale
@@ -55,9 +55,17 @@
 
 
 def play_configuration(given: argparse.Namespace) -> int:
-    print("| " + " | ".join(configured.COLUMNS) + " |\n" + "| --- " * len(configured.COLUMNS) + "|")
+    print(
+        "| "
+        + " | ".join(configuration_scenarios.COLUMNS)
+        + " |\n"
+        + "| --- " * len(configuration_scenarios.COLUMNS)
+        + "|"
+    )
     cut_for = round(given.cut * talk.SECOND)
-    configured.run_scenarios(configured.Options(given.balancers, given.size, cut_for), given.seed, given.play)
+    configuration_scenarios.run_scenarios(
+        configuration_scenarios.Options(given.balancers, given.size, cut_for), given.seed, given.play
+    )
     return 0
 
 
--- a/thymedeck/lab/configured.py
+++ b/thymedeck/lab/configuration_scenarios.py
@@ -5,8 +5,8 @@
 from msgspec import Struct
 
 from ..configuration.messages import SECOND, Change, Outcome, ValidationFailure
+from .configuration_fleet import Fleet
 from .faults import Fault
-from .followers import Fleet
 
 COLUMNS = (
     "scenario", "in force after (s): median", "99th percentile", "last", "balancers", "B/s per balancer",
