--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -8,7 +8,7 @@
 
 from thymedeck import interface
 from thymedeck.lab.cold import LISTENER, SITE
-from thymedeck.policy.balancer import CAP, Balancer, Session
+from thymedeck.policy.balancer import LOAD_CAP, Balancer, Session
 from thymedeck.policy.candidates import AgeStage, ColdGroup, Group, GroupKey
 from thymedeck.policy.server import FADE_TIME, SECOND, Server
 
@@ -121,27 +121,27 @@
         for at, server in enumerate(group.members):
             assert (server.group_position, server.group) == (at, group)
             assert (server.kind, server.zone) == group.key[:2]
-            assert server.is_idle(balancer.now, candidates.window) and not balancer.own_sum(server)
+            assert server.is_idle(balancer.now, candidates.window) and not balancer.load_sum(server)
             assert not (server.is_unhealthy or server.open_sessions or server.pending_dials)
             grouped[server.index] = server
         if isinstance(group, ColdGroup):
             assert group.draws == sorted((one.admission_draw, one.index) for one in group.members)
     assert not set(grouped) & set(candidates.active)
     assert set(grouped) | set(candidates.active) == set(ready)
-    assert balancer.listed == sum(
+    assert balancer.listed_count == sum(
         one.state is not interface.ServerState.GONE for one in balancer.servers.values()
     )
 
 
 def by_walk(balancer: Balancer, sess: Session, ahead: float) -> set[int]:
     """The servers that tie, told from each ready server alone."""
-    now, site = balancer.now, balancer.site
+    now, site = balancer.now, balancer.deployment
     keys: dict[int, tuple[int, float]] = {}
     for server in balancer.servers.values():
-        if server.state is not interface.ServerState.READY or not balancer.drops_repeat(sess, server):
+        if server.state is not interface.ServerState.READY or not balancer.shares_deduplication(sess, server):
             continue
         unheard = not (server.open_sessions or server.pending_dials or balancer.is_cold(server))
-        if server.index in sess.tried:
+        if server.index in sess.tried_servers:
             rank = 4
         elif server.is_unhealthy and (now < server.trial_at or server.pending_dials):
             rank = 3
@@ -149,15 +149,15 @@
             rank = 2
         elif (
             now <= server.slow_until
-            or (now <= server.report_valid_until and balancer.load_now(server) >= CAP)
-            or balancer.would_crowd(server, ahead)
-            or (balancer.wary and unheard)
+            or (now <= server.report_valid_until and balancer.estimated_utilization(server) >= LOAD_CAP)
+            or balancer.exceeds_learned_cap(server, ahead)
+            or (balancer.assumes_unobserved_full and unheard)
         ):
             rank = 1
         else:
             rank = -1 if site.may_probe and site.cross_zone_price and server.zone == site.zone else 0
-        load = balancer.own_sum(server) + balancer.faded(server)
-        keys[server.index] = (rank, load * balancer.ease.get(server.kind, 1.0))
+        load = balancer.load_sum(server) + balancer.remaining_fading_load(server)
+        keys[server.index] = (rank, load * balancer.load_factors.get(server.kind, 1.0))
     return {at for at, key in keys.items() if key == min(keys.values())}
 
 
@@ -173,14 +173,14 @@
         day.step()
         check_places(balancer)
         sess = Session(chance.randrange(1 + len(SCOPES)), day.now + DEADLINE, 1.0, None)
-        sess.tried = chance.sample(range(SERVERS), chance.randrange(3))
-        sess.may_have_run = chance.choice([None, balancer.servers[chance.randrange(SERVERS)]])
-        balancer.wary = not probes and chance.random() < 0.3
-        burdens = {at: balancer.faded(one) for at, one in balancer.servers.items()}
-        balancer.prepare(sess)
-        assert {at: balancer.faded(one) for at, one in balancer.servers.items()} == burdens
+        sess.tried_servers = chance.sample(range(SERVERS), chance.randrange(3))
+        sess.possible_executor = chance.choice([None, balancer.servers[chance.randrange(SERVERS)]])
+        balancer.assumes_unobserved_full = not probes and chance.random() < 0.3
+        burdens = {at: balancer.remaining_fading_load(one) for at, one in balancer.servers.items()}
+        balancer.update_candidates(sess)
+        assert {at: balancer.remaining_fading_load(one) for at, one in balancer.servers.items()} == burdens
         check_places(balancer)
-        ties = balancer.least(sess, 1.0, set(), False)
+        ties = balancer.best_ties(sess, 1.0, set(), False)
         found = (
             [] if ties is None else [*ties.servers, *(one for group in ties.groups for one in group.members)]
         )
@@ -239,9 +239,9 @@
     balancer.handle(SECOND, interface.ServerListUpdated(interface.ListKind.SAVED, listed))
     for at in (1, 2, 3):
         for _ in range(2):
-            balancer.set_up_went(balancer.servers[at], False)
+            balancer.record_setup(balancer.servers[at], False)
     assert [one.index for one in balancer.servers.values() if one.is_unhealthy] == [1, 2, 3]
-    assert not balancer.doubt
+    assert not balancer.is_ejection_suspended
 
 
 def test_a_server_that_holds_nothing_has_the_sum_zero_whatever_the_rounding() -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -5,7 +5,7 @@
 import pytest
 
 from thymedeck.lab.cold import BEGIN, SITE, Case, Fleet, bounds, play, tail
-from thymedeck.policy import chance_for
+from thymedeck.policy import admission_probability
 
 
 class Watched(Fleet):
@@ -57,7 +57,7 @@
     for seed in range(rounds):
         fleet = Fleet(Case(30, 20, rate=120.0), seed)
         for age in range(0, SITE.warm_after, SITE.warm_after // 20):
-            chances = sum(chance_for(part, 30) for part in fleet.parts(BEGIN + age))
+            chances = sum(admission_probability(part, 30) for part in fleet.parts(BEGIN + age))
             expected += chances * SITE.warm_after / SITE.overload_window / 20
         sent += fleet.play().sent
     assert abs(sent - expected) < 3 * sqrt(expected)
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -180,7 +180,7 @@
     states = dict.fromkeys(range(SERVERS), "SERVING") | dict.fromkeys(drained, "DRAINING")
     service.listed(listing(2, states, full=True))
     assert [at for at, _ in told[0]] == list(drained)
-    assert balancer.most_listed == SERVERS
+    assert balancer.max_listed_count == SERVERS
     assert {balancer.servers[at].state for at in drained} == {interface.ServerState.DRAINING}
     # Before the rest is told one of it drains too, and one leaves the list.
     late, gone = SERVERS - 2, SERVERS - 4
@@ -202,7 +202,7 @@
     service = holding(0)
     service.listed(listing(2, dict.fromkeys(range(SERVERS), "SERVING")))
     assert service.untold
-    assert service.balancer.most_listed == SERVERS
+    assert service.balancer.max_listed_count == SERVERS
 
 
 def test_a_session_that_stood_on_a_server_not_told_yet_goes_there() -> None:
--- a/thymedeck/lab/cold.py
+++ b/thymedeck/lab/cold.py
@@ -19,7 +19,7 @@
 from msgspec.structs import replace
 
 from .. import interface
-from ..policy import SECOND, Balancer, chance_for
+from ..policy import SECOND, Balancer, admission_probability
 
 LISTENER = interface.Listener(
     3000, 12000, interface.Effect.IDEMPOTENT, interface.DedupScope.ALL, 50000, 1.0, 500
@@ -95,7 +95,9 @@
         counts = floor(limit(fleet.allowed(age), 2)) + 1
         parts = fleet.parts(BEGIN + int(max(age - window / 2, age / 2)))  # in the middle of the window
         sure = [floor(part) for part in parts]
-        parts = sorted(chance_for(part - one, case.balancers) for part, one in zip(parts, sure, strict=True))
+        parts = sorted(
+            admission_probability(part - one, case.balancers) for part, one in zip(parts, sure, strict=True)
+        )
         sent = (sum(sure) + sum(parts)) * length / steps / window
         dense += sent * tail(parts[1:], counts - 1 - sum(sure))
         rush += tail(parts, counts - sum(sure)) / steps
@@ -168,8 +170,8 @@
         for balancer in self.balancers:
             balancer.now = now
             server = balancer.servers[self.case.warm]
-            carried = balancer.sum_of_kind(server.kind, balancer.warm_sums()) / balancer.mean
-            parts.append(balancer.cold_part(server) * carried)
+            carried = balancer.warm_capacity_share(server.kind, balancer.warm_loads()) / balancer.mean_load
+            parts.append(balancer.cold_budget_ratio(server) * carried)
         return parts
 
     def play(self) -> WarmUp:
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -457,7 +457,7 @@
             server.stopped = not answers and (server.stopped or len(late) >= STOPPED)
             if answers or (server.stopped and late):
                 delay = delays[-1] if server.stopped else delays[len(delays) // 2]
-                slow = 3 * delay > self.balancer.shortest_aim
+                slow = 3 * delay > self.balancer.shortest_message_aim
                 if slow or server.slow:
                     client = next(iter(late or server.standing), None)
                     self.tell(interface.DelayReported(-1 if client is None else client.sess, index, delay))
--- a/thymedeck/policy/__init__.py
+++ b/thymedeck/policy/__init__.py
@@ -1,6 +1,6 @@
 """Every decision of thymedeck. `Balancer.handle(now, event)` returns actions; nothing here does I/O."""
 
-from .balancer import Balancer, chance_for
+from .balancer import Balancer, admission_probability
 from .server import SECOND
 
-__all__ = ["SECOND", "Balancer", "chance_for"]
+__all__ = ["SECOND", "Balancer", "admission_probability"]
--- a/thymedeck/policy/balancer.py
+++ b/thymedeck/policy/balancer.py
@@ -1,9 +1,17 @@
-"""Every decision of thymedeck; read it top to bottom.
-
-Make one Balancer(seed, deployment) for each balancer process, then call handle(now, event) for whatever
-happens and carry out the actions it returns, in order. `now` is the clock in tenths of a millisecond. The
-types of events and actions are in thymedeck/interface.py; a session stays in `sessions` while it is held.
-A decision visits the servers of which something is known, and groups of the others (candidates.py).
+"""Placement policy: all decisions of a balancer, without I/O.
+
+The caller creates one Balancer(seed, deployment) per balancer process, passes each event to `handle(now,
+event)` and carries out the returned actions in order. The types of events and actions are in
+thymedeck/interface.py. `now` and all times are whole tenths of a millisecond; durations may be fractions of
+one. Loads are on one scale: that of the loads reported for sessions where the deployment has them reported,
+otherwise that of the clients' hints. A session is in `Balancer.sessions` from its arrival until its final
+answer or its end.
+
+Sessions are placed on the server with the smallest sum of the loads of this balancer's own sessions, as
+balancers don't know one another's sessions. Around that rule there are, each in a section of its own: an
+initial load for new servers, slow start for cold ones, a learned load cap, a circuit breaker for each
+server, throttling when set-ups fail on the whole fleet, and moves of sessions off overloaded servers. A
+decision visits the servers with own state one by one and all others in groups (candidates.py).
 """
 
 import random
@@ -54,62 +62,69 @@
     append_bounded,
 )
 
-LOG_PAUSE = 10 * SECOND  # a mode that has rested this long is logged again when it returns
-HISTORY = 100  # connections whose mean stands in for a load not yet told (design page)
-TRIAL_WAIT = SECOND  # a sick server gets its first single trial after about this
-NOTE_LIFE = 25_000  # notes on slow messages come every second; two missed ones make a third unlikely
-REPORT_LIFE = 5 * SECOND  # no report older than this is trusted
-DRIFT = 0.15 / SECOND  # how fast a load may come nearer to the cap than reported
-ASKS = 8  # servers found at their cap for one session before it is refused
-HEADROOM = 0.9  # of a sum at which messages were slow, what the server is taken to carry
-FLEET_RECENT = 16  # set-ups remembered over the whole fleet
-TRY_WAIT = SECOND / 6  # for each balancer, before one tries again what has just turned it down
-TRY_WAIT_LEAST, TRY_WAIT_MOST = SECOND / 2, 5 * SECOND
-CAP = 0.75  # load over what a server can do above which it is passed over while others are below
-RELIEF_FROM = 0.9  # reported load from which sessions are moved off: past 1 before the next report
-RELIEF_TO = 0.7  # and down to which, a little under the cap so that it is not back at once
-STUCK = SECOND // 2  # a message that takes longer tells of a server that hangs, not of a full one
-SHARE_STEP = 0.05  # of the own sum, what each further note of slow messages adds to what is moved
-BLIND = 2 * SHARE_STEP  # of what a server is to carry, what it may be sent before a note can tell of it
-BLIND_FOR = SECOND  # notes come as often
-MOST_MOVED = 0.5  # of the own sum that these steps come to: the next note may tell that it was enough
-LOOK_EVERY = SECOND  # full servers are counted again after this; notes come as often
-RELIEF_PAUSE = 3 * SECOND  # until a report shows what the last moves brought
-SETTLE_EVERY = SECOND // 10
-LIST_PART = 0.005  # of the time within which the list is to be asked, left to each balancer's call
-LEAST_PULL = 1e-6  # so that ties without newcomers have a chance
-MOST_SPREAD = 0.4  # of that time, over all of them: a call that fails then still leaves time for another
-LIST_WITHIN = 3.8 * SECOND  # from a call to the next: told 6 s after it could be had, 2 s to be answered
-STRAY = 2.3  # of the root of such a sum, a Poisson's: more comes in less than one window of 50,000
-PLANNED_DIALS = 3  # dials for which the time to the dial timeout is divided
+LOG_REPEAT_INTERVAL = 10 * SECOND  # a condition absent for longer is logged again when it returns
+HISTORY_LIMIT = 100  # recent sessions whose mean load stands in for an unknown load (design page)
+TRIAL_DELAY = SECOND  # mean delay until the first trial dial to an ejected server
+DELAY_REPORT_LIFETIME = 25_000  # reports come every second; a server that misses two has likely no third
+UTILIZATION_REPORT_LIFETIME = 5 * SECOND  # older reports are not trusted
+UTILIZATION_DRIFT = 0.15 / SECOND  # how fast a utilization may move towards the load cap after its report
+MAX_FULL_ANSWERS = 8  # probed servers found at their load cap before the session is refused
+LEARNED_CAP_FACTOR = 0.9  # learned load cap, as a part of the load sum at which messages were slow
+FLEET_SETUPS_LIMIT = 16  # latest set-ups over the whole fleet, from which throttling is decided
+# Backoff before trying again what has just failed: proportional to the number of balancers, within limits.
+BACKOFF_PER_BALANCER = SECOND / 6
+MIN_BACKOFF, MAX_BACKOFF = SECOND / 2, 5 * SECOND
+LOAD_CAP = 0.75  # utilization from which a server is passed over while others are below
+MOVE_ABOVE = 0.9  # reported utilization that may pass 1 before the next report; sessions are moved off
+MOVE_DOWN_TO = 0.7  # a little under the load cap, so that the server is not at the cap again at once
+HUNG_DELAY = SECOND // 2  # a message delay from here on means a server that hangs, not one that is full
+MOVE_SHARE_STEP = 0.05  # part of the load sum that each further report of slow messages adds to what is moved
+GROWTH_LIMIT = 2 * MOVE_SHARE_STEP  # part of a server's expected load that it may be sent in GROWTH_WINDOW
+GROWTH_WINDOW = SECOND  # delay reports come as often
+MAX_STEPPED_SHARE = 0.5  # limit of the steps above, as the next report may show that the moves were enough
+RECOUNT_INTERVAL = SECOND  # between counts over all active servers; delay reports come as often
+MOVE_PAUSE = 3 * SECOND  # between moves, until a utilization report shows the effect of the last ones
+REGROUP_INTERVAL = SECOND // 10  # between checks for active servers that have become idle
+LIST_SPREAD_PER_BALANCER = 0.005  # time for each balancer's list request, as a part of `list_poll_within`
+MIN_SETTLED_WEIGHT = 1e-6  # above zero, as a draw among settled servers alone needs a positive total weight
+MAX_LIST_SPREAD = 0.4  # the same over all balancers; it leaves time for a second request if the first fails
+# A list must be known 6 s after it becomes available, and a request may take 2 s to be answered.
+MAX_LIST_REQUEST_INTERVAL = 3.8 * SECOND
+# Difference kept between the square roots of a limit and of the expected value of a Poisson-distributed
+# sum: the sum then exceeds the limit in fewer than one window of 50,000.
+POISSON_ROOT_MARGIN = 2.3
+PLANNED_DIALS = 3  # dials among which the time until the dial timeout is divided
 
 
 class Session:
+    """A session held by this balancer."""
+
     __slots__ = (
-        "asked", "asked_last", "deadline", "dialled_at", "dials", "erred", "finished", "listener", "load",
-        "may_have_run", "ran_at", "server", "standing", "subject", "tried",
+        "deadline", "dial_count", "dialled_at", "errored_servers", "full_answers", "has_left",
+        "is_established", "listener", "load", "possible_executor", "possibly_ran_at", "probed_server",
+        "server", "subject", "tried_servers",
     )  # fmt: skip
 
     def __init__(self, listener: int, deadline: int, load: float | None, subject: str | None) -> None:
         self.listener = listener
-        self.deadline = deadline
-        self.load = load  # None: not told yet, counts the mean
+        self.deadline = deadline  # when the final answer is due
+        self.load = load  # None: not known yet, counts as the mean
         self.subject = subject
-        self.asked = 0  # servers that answered that they are at their cap
-        self.asked_last: Server | None = None
-        self.dials = 0
+        self.full_answers = 0  # probed servers that were at their load cap
+        self.probed_server: Server | None = None  # the last one whose report this session waited for
+        self.dial_count = 0
         self.dialled_at = 0
-        self.tried: list[int] = []
-        self.erred: list[Server] = []  # that answered with an error, not yet held against them
-        self.server: Server | None = None  # where its predicted or told load is counted
-        self.may_have_run: Server | None = None  # first server that may have run it
-        self.ran_at = 0
-        self.standing = False
-        self.finished = False
+        self.tried_servers: list[int] = []  # indices
+        self.errored_servers: list[Server] = []  # answered with an error that is not yet counted against them
+        self.server: Server | None = None  # whose load sum contains this session
+        self.possible_executor: Server | None = None  # first server that may have executed the opening line
+        self.possibly_ran_at = 0  # when that server was dialled
+        self.is_established = False
+        self.has_left = False  # the client has left while the dial is pending
 
 
 class Ties(NamedTuple):
-    """Servers that tie, those with something known one by one."""
+    """Servers that tie for a session: active ones one by one, idle ones in groups."""
 
     servers: list[Server]
     groups: list[Group]
@@ -118,8 +133,8 @@
         return bool(self.servers or self.groups)
 
 
-class Holding:
-    """Servers of a kind, and the own sessions that stand on them."""
+class KindCounts:
+    """The number of servers of a kind of machine, and of this balancer's open sessions on them."""
 
     __slots__ = ("servers", "sessions")
 
@@ -128,512 +143,581 @@
         self.sessions = 0
 
     @property
-    def mean(self) -> float:
+    def sessions_per_server(self) -> float:
         return self.sessions / self.servers
 
 
-class WarmSums:
-    """The own summed loads of warm servers, in all and by kind of machine."""
+class WarmLoads:
+    """The load sums of warm servers, in total and by kind of machine."""
 
     def __init__(self) -> None:
-        self.servers = 0
+        self.server_count = 0
         self.total = 0.0
-        self.by_kind: dict[int, tuple[float, int]] = {}  # summed load, servers
+        self.by_kind: dict[int, tuple[float, int]] = {}  # load, number of servers
 
     def add(self, kind: int, load: float, servers: int) -> None:
-        self.servers += servers
+        self.server_count += servers
         self.total += load
         before, count = self.by_kind.get(kind, (0.0, 0))
         self.by_kind[kind] = (before + load, count + servers)
 
     def mean(self) -> float:
-        return self.total / self.servers if self.servers else 0.0
+        return self.total / self.server_count if self.server_count else 0.0
 
-    def mean_of(self, kind: int) -> float:
-        """Of all kinds where there is no warm server of this one."""
+    def mean_of_kind(self, kind: int) -> float:
+        """Returns the mean over this kind, or over all kinds where this one has no warm server."""
         load, servers = self.by_kind.get(kind, (0.0, 0))
         return load / servers if servers else self.mean()
 
 
-def kind_of(part: Server | Group) -> int:
-    return part.key.kind if isinstance(part, Group) else part.kind
+def kind_of(candidate: Server | Group) -> int:
+    return candidate.key.kind if isinstance(candidate, Group) else candidate.kind
 
 
-def chance_for(part: float, replicas: int) -> float:
-    """With which a part of a session, 0 to 1, is granted to a cold server in a window.
+def admission_probability(share: float, replicas: int) -> float:
+    """Returns the probability with which a cold server admits a session in a window.
 
-    Guards against the sum of many such parts, which strays by its root and is to stay under N + 2 root N + 2.
+    `share` is this balancer's budget for the window in sessions, from 0 to 1. All balancers decide
+    independently, so the number N that they should admit together varies by its square root; the
+    probability is below `share` so that the server's tolerance, N + 2 sqrt(N) + 2 sessions, is not
+    exceeded.
     """
-    total = max(part * replicas, 1)
-    least = max((((total**0.5 + 1) ** 2 + 1) ** 0.5 - STRAY) ** 2 / total if total > 5 else 0, 0.3)
-    return part * (least + (1 - least) * part**0.8)
+    total = max(share * replicas, 1)
+    least = max(
+        (((total**0.5 + 1) ** 2 + 1) ** 0.5 - POISSON_ROOT_MARGIN) ** 2 / total if total > 5 else 0, 0.3
+    )
+    return share * (least + (1 - least) * share**0.8)
 
 
 class Balancer:
+    """The decisions of one balancer process, see the module's docstring."""
+
     def __init__(self, seed: int, deployment: Deployment) -> None:
-        self.site = deployment
-        self.shortest_aim = min(listener.message_aim for listener in deployment.listeners)
-        # A set-up that takes half the shortest handshake target is late: what it needs is filling up.
-        self.late_after = min(listener.handshake_target for listener in deployment.listeners) // 2
-        # Guards against balancers that ask together and queue up at a list that does not grow with them.
-        self.list_spread = min(LIST_PART * deployment.replicas, MOST_SPREAD) * deployment.list_poll_within
-        # Guards against what many balancers try again one by one: together they must let it recover.
-        self.try_wait = min(max(TRY_WAIT * deployment.replicas, TRY_WAIT_LEAST), TRY_WAIT_MOST)
-        chance = random.Random(seed)
-        self.uniform = chance.uniform
-        self.choice = chance.choice
-        self.choices = chance.choices
-        self.ask_wait = self.late_after // 2  # four asks fit the shortest handshake target
+        self.deployment = deployment
+        self.shortest_message_aim = min(listener.message_aim for listener in deployment.listeners)
+        # Set-ups that take half the shortest handshake target mean that a resource they need is nearly
+        # exhausted.
+        self.late_setup_threshold = min(listener.handshake_target for listener in deployment.listeners) // 2
+        # Jitter for list requests: the list service does not grow with the balancers, whose simultaneous
+        # requests would queue up there.
+        self.list_request_spread = (
+            min(LIST_SPREAD_PER_BALANCER * deployment.replicas, MAX_LIST_SPREAD) * deployment.list_poll_within
+        )
+        # Balancers back off independently, so the time grows with their number: together they must let a
+        # server or a shared resource recover.
+        self.backoff = min(max(BACKOFF_PER_BALANCER * deployment.replicas, MIN_BACKOFF), MAX_BACKOFF)
+        generator = random.Random(seed)
+        self.uniform = generator.uniform
+        self.choice = generator.choice
+        self.choices = generator.choices
+        self.probe_timeout = self.late_setup_threshold // 2  # four probes fit the shortest handshake target
         self.now = 0
-        self.out: list[Action] = []
+        self.actions: list[Action] = []
         self.servers: dict[int, Server] = {}
-        self.candidates = Candidates(deployment.warm_after, max(deployment.overload_window, BLIND_FOR))
-        self.settled_at = 0  # when active servers were last looked at for idle ones
-        self.listed = 0  # servers on the list, in whatever state
-        self.most_listed = 0  # servers on the list at once
+        self.candidates = Candidates(deployment.warm_after, max(deployment.overload_window, GROWTH_WINDOW))
+        self.regrouped_at = 0  # when active servers were last checked for idle ones
+        self.listed_count = 0  # servers on the list, in any state
+        self.max_listed_count = 0  # highest number of servers on the list at once
         self.sessions: dict[int, Session] = {}
-        self.figures: deque[float] = deque(maxlen=HISTORY)  # loads of recent connections, on the one scale
-        self.mean = 1.0  # of these
-        self.homes: dict[str, int] = {}  # subject -> server of a standing session, for packets that move
-        self.list_failures = 0
-        self.doubt = False
-        self.quickest: dict[int, int] = {}  # set-up by zone
-        self.waits: deque[int] = deque(maxlen=HISTORY)  # what set-ups took beyond these
-        self.set_ups: deque[tuple[Server, bool]] = deque(maxlen=FLEET_RECENT)
-        self.came: deque[int] = deque((0,), maxlen=RECENT_LIMIT)  # when dials were due lately
-        self.setting_up = 0  # dials out
-        self.storm = False  # set-ups fail all over the fleet
-        self.room = 1  # dials that may be out in a storm
-        self.pause_until = 0
-        self.wary = False  # whether servers not heard of are taken to be full, drawn for each pick
-        self.full_share = 0.0  # of the servers heard of, those at their cap
-        self.with_room = 0  # servers not known to be full
-        self.looked_at = -LOOK_EVERY - 1
-        self.kind_parts: dict[int, float] = {}  # what the servers of a kind of machine carry, of own sessions
-        self.ease: dict[int, float] = {}  # by kind, what the mean server holds over what one of it holds
-        self.pull: dict[int, float] = {}  # by kind, the chance of settled servers among ties, over newcomers'
-        self.kinds_at = -LOOK_EVERY - 1
-        self.nearest: dict[bool, int] = {}  # quickest set-up, in the own zone or not
-        self.work: dict[int, deque[tuple[bool, int]]] = {}  # by kind, the last set-ups: own zone or not, took
-        self.crowd_at = -LOG_PAUSE - 1  # last refusal because every server was at its cap
+        self.recent_loads: deque[float] = deque(maxlen=HISTORY_LIMIT)
+        self.mean_load = 1.0  # of these
+        self.subject_servers: dict[str, int] = {}  # server of the open session of a subject, for moved flows
+        self.list_failures = 0  # consecutive
+        self.is_ejection_suspended = False  # most of the fleet fails, so no more servers are ejected
+        self.quickest_setups: dict[int, int] = {}  # by zone
+        self.recent_setup_waits: deque[int] = deque(maxlen=HISTORY_LIMIT)  # set-up times beyond the quickest
+        self.fleet_setups: deque[tuple[Server, bool]] = deque(maxlen=FLEET_SETUPS_LIMIT)  # succeeded in time
+        self.dial_times: deque[int] = deque((0,), maxlen=RECENT_LIMIT)  # when sessions last needed a dial
+        self.pending_dials = 0  # set-ups in progress
+        self.is_throttling = False  # dials are limited, as set-ups fail on the whole fleet
+        self.dial_limit = 1  # concurrent dials allowed while throttling
+        self.dials_paused_until = 0  # while throttling
+        # Whether servers that this balancer has no observation of are assumed to be full; drawn for each
+        # pick.
+        self.assumes_unobserved_full = False
+        self.full_fraction = 0.0  # of the observed servers, those at their load cap
+        self.available_count = 0  # servers not known to be full
+        self.recounted_at = -RECOUNT_INTERVAL - 1  # when these two were last computed
+        self.kind_shares: dict[int, float] = {}  # by kind of machine: weight of all its servers in a draw
+        # By kind: multiplies its load sums, so that a server of a kind that carries twice as much counts
+        # half.
+        self.load_factors: dict[int, float] = {}
+        # By kind: multiplies the weights of settled servers in a draw, below 1 while newcomers lack sessions.
+        self.settled_weights: dict[int, float] = {}
+        self.kinds_updated_at = -RECOUNT_INTERVAL - 1
+        self.quickest_by_distance: dict[bool, int] = {}  # quickest set-up, True: in the own zone
+        # By kind: the last set-ups, whether in the own zone and how long they took.
+        self.kind_setups: dict[int, deque[tuple[bool, int]]] = {}
+        self.no_capacity_at = -LOG_REPEAT_INTERVAL - 1  # last refusal because every server was at its cap
         self.handlers: dict[type, Callable[[Event], None]] = {
-            ServerListUpdated: self.on_list, SessionArrived: self.on_came,
-            SessionRestored: self.on_stands, SessionLeft: self.on_left,
-            SessionEstablished: self.on_established, DialEnded: self.on_dial_ended,
-            LoadReported: self.on_load, DelayReported: self.on_delay, ProbeEnded: self.on_probed,
-            TimerFired: self.on_timer,
+            ServerListUpdated: self.on_list_updated, SessionArrived: self.on_session_arrived,
+            SessionRestored: self.on_session_restored, SessionLeft: self.on_session_left,
+            SessionEstablished: self.on_session_established, DialEnded: self.on_dial_ended,
+            LoadReported: self.on_load_reported, DelayReported: self.on_delay_reported,
+            ProbeEnded: self.on_probe_ended, TimerFired: self.on_timer_fired,
         }  # fmt: skip
 
     def handle(self, now: int, event: Event) -> list[Action]:
+        """Processes an event and returns the actions to carry out, in order."""
         self.now = now
-        self.out = []
+        self.actions = []
         self.handlers[type(event)](event)
-        return self.out
+        return self.actions
 
-    # The list of servers
+    # Server list
 
-    def on_list(self, event: ServerListUpdated) -> None:
-        site = self.site
-        if event.kind is ListKind.SAVED and site.list_on_request:
-            self.set_timer(Timer.LIST_REQUEST, 0, self.uniform(0, min(self.list_spread, LIST_WITHIN)))
+    def on_list_updated(self, event: ServerListUpdated) -> None:
+        deployment = self.deployment
+        if event.kind is ListKind.SAVED and deployment.list_on_request:
+            self.set_timer(
+                Timer.LIST_REQUEST,
+                0,
+                self.uniform(0, min(self.list_request_spread, MAX_LIST_REQUEST_INTERVAL)),
+            )
         elif event.kind is ListKind.FAILED:
             self.list_failures += 1
-            base = max(site.list_poll_within / 20 * 2 ** min(self.list_failures, 3), self.list_spread)
-            # Guards against a drain heard of too late: what is pushed counts as told while nobody asks.
-            base = min(
-                base,
-                LIST_WITHIN - event.call_duration,
-                base if site.list_on_request else site.drain_grace / 4,
+            limit = max(
+                deployment.list_poll_within / 20 * 2 ** min(self.list_failures, 3), self.list_request_spread
+            )
+            # A pushed list is considered received although no watch is open, so a drain must not be missed
+            # for longer than a part of its grace time.
+            limit = min(
+                limit,
+                MAX_LIST_REQUEST_INTERVAL - event.call_duration,
+                limit if deployment.list_on_request else deployment.drain_grace / 4,
             )
-            low = max(base / 2, min(base, self.list_spread)) if event.is_scheduled else 0  # a turn is kept
-            self.set_timer(Timer.LIST_REQUEST, 0, self.uniform(low, base))
+            # Balancers whose requests were scheduled at different times keep that distance; after
+            # simultaneous failures the jitter starts at zero.
+            low = max(limit / 2, min(limit, self.list_request_spread)) if event.is_scheduled else 0
+            self.set_timer(Timer.LIST_REQUEST, 0, self.uniform(low, limit))
             if self.list_failures == 1:
-                self.log("list lost; going on with the last one")
+                self.log("server list unavailable; using the last one")
             return
         elif self.list_failures:
-            self.log(f"list back after {self.list_failures} failures")
+            self.log(f"server list available again after {self.list_failures} failures")
             self.list_failures = 0
-        known = list(self.candidates.ready)  # a newcomer starts by one of those before this list
-        changed = any([self.take_entry(entry, known) for entry in event.entries])
+        known = list(self.candidates.ready)  # before this list; initial loads are taken from these servers
+        changed = any([self.apply_entry(entry, known) for entry in event.entries])
         if event.kind is not ListKind.CHANGES:
             named = {entry.server for entry in event.entries}
             for server in self.servers.values():
                 if server.index not in named:
-                    self.list_gone(server)
+                    self.mark_gone(server)
         self.candidates.regroup_idle(self.now, list(self.candidates.active.values()))
         if changed or event.kind is not ListKind.CHANGES:
-            self.kinds_at = -LOOK_EVERY - 1  # guards against a draw among kinds not looked at yet
-            self.most_listed = max(self.most_listed, self.listed, event.listed_count)
+            self.kinds_updated_at = (
+                -RECOUNT_INTERVAL - 1
+            )  # a new kind has no share yet and could not be drawn
+            self.max_listed_count = max(self.max_listed_count, self.listed_count, event.listed_count)
 
-    def take_entry(self, entry: ServerEntry, known: list[Server]) -> bool:
-        """Whether more than the weight is new."""
+    def apply_entry(self, entry: ServerEntry, known: list[Server]) -> bool:
+        """Applies an entry of the list and returns whether more than the weight has changed."""
         server = self.servers.get(entry.server)
         if server is None:
             server = self.servers[entry.server] = Server(entry)
-            self.listed += entry.state is not ServerState.GONE
-            self.start(server, known)
-            self.offer(server)
+            self.listed_count += entry.state is not ServerState.GONE
+            self.add_initial_load(server, known)
+            self.add_if_ready(server)
             return True
         if entry.started == server.started and entry.state is server.state:
             self.candidates.set_weight(server, entry.weight)
             return False
         self.candidates.remove(server)
-        self.listed += (entry.state is not ServerState.GONE) - (server.state is not ServerState.GONE)
-        again = entry.started > server.started
+        self.listed_count += (entry.state is not ServerState.GONE) - (server.state is not ServerState.GONE)
+        restarted = entry.started > server.started
         server.update_from(entry)
-        if again:
-            # Guards against a restarted server that draws a rush because its sum was emptied.
+        if restarted:
+            # Its load sum drops as its sessions end, which would attract a rush of new ones.
             server.reset_history()
-            self.start(server, known)
-        self.offer(server)
+            self.add_initial_load(server, known)
+        self.add_if_ready(server)
         return True
 
-    def list_gone(self, server: Server) -> None:
+    def mark_gone(self, server: Server) -> None:
         if server.state is not ServerState.GONE:
             self.candidates.remove(server)
-            self.listed -= 1
+            self.listed_count -= 1
             server.state = ServerState.GONE
 
-    def offer(self, server: Server) -> None:
+    def add_if_ready(self, server: Server) -> None:
         if server.state is ServerState.READY:
             self.candidates.add(server, self.now)
 
-    def start(self, server: Server, known: list[Server]) -> None:
-        """Burdens a newcomer with the sum of one of the others by chance, unless the cold budget guards it.
+    def add_initial_load(self, server: Server, known: list[Server]) -> None:
+        """Adds the load sum of a random other server to that of a new one, as a load that fades.
 
-        Their mean in the mean; but where most sums are zero a newcomer that started at the mean itself
-        would come after nearly all until it has faded. Both guards at once leave a cold server empty while
-        all balancers crowd the warm ones.
+        On average over the balancers that is the mean sum. The mean itself would put the newcomer behind
+        nearly all servers wherever most sums are zero, until it has faded. A cold server gets no initial
+        load, as its slow start budget limits it: both together would leave it empty while all balancers
+        crowd the warm ones.
         """
         if known and not self.is_cold(server):
-            self.burden(server, self.own_sum(self.choice(known)))
+            self.add_fading_load(server, self.load_sum(self.choice(known)))
 
-    # The sums
+    # Load sums
 
-    def learn_load(self, load: float) -> None:
-        self.figures.append(load)
-        self.mean = sum(self.figures) / len(self.figures)
+    def record_load(self, load: float) -> None:
+        """Takes a known load into the mean that stands in for unknown ones."""
+        self.recent_loads.append(load)
+        self.mean_load = sum(self.recent_loads) / len(self.recent_loads)
 
-    def load_of(self, sess: Session) -> float:
-        return self.mean if sess.load is None else sess.load
+    def load_of(self, session: Session) -> float:
+        return self.mean_load if session.load is None else session.load
 
-    def own_sum(self, server: Server) -> float:
-        return server.known_load + server.unknown_load_count * self.mean
+    def load_sum(self, server: Server) -> float:
+        """Returns the sum of the loads of this balancer's sessions on the server, without the fading load."""
+        return server.known_load + server.unknown_load_count * self.mean_load
 
-    def faded(self, server: Server) -> float:
-        """What is left of the load that the server was burdened with."""
-        left = FADE_TIME - (self.now - server.fading_since)
-        return server.fading_load * left / FADE_TIME if left > 0 else 0.0
+    def remaining_fading_load(self, server: Server) -> float:
+        remaining = FADE_TIME - (self.now - server.fading_since)
+        return server.fading_load * remaining / FADE_TIME if remaining > 0 else 0.0
 
-    def burden(self, server: Server, load: float) -> None:
-        """Adds load that fades: a newcomer's start, or what a reset or failure has taken off the sum."""
+    def add_fading_load(self, server: Server, load: float) -> None:
+        """Adds load that fades linearly over FADE_TIME; what remains of earlier ones starts to fade anew.
+
+        It is the initial load of a new server, or the load that a failure or a reset has taken off the sum.
+        """
         self.candidates.activate(server)
-        server.fading_load = load + self.faded(server)
+        server.fading_load = load + self.remaining_fading_load(server)
         server.fading_since = self.now
 
-    def join(self, sess: Session, server: Server) -> None:
+    def add_to_sum(self, session: Session, server: Server) -> None:
         self.candidates.activate(server)
-        sess.server = server
+        session.server = server
         server.session_count += 1
-        server.unknown_load_count += sess.load is None
-        server.known_load += sess.load or 0.0
+        server.unknown_load_count += session.load is None
+        server.known_load += session.load or 0.0
 
-    def leave(self, sess: Session) -> None:
-        server = sess.server
+    def remove_from_sum(self, session: Session) -> None:
+        server = session.server
         if server is None:
             return
         server.session_count -= 1
-        if sess.load is None:
+        if session.load is None:
             server.unknown_load_count -= 1
         elif server.session_count > server.unknown_load_count:
-            server.known_load = max(server.known_load - sess.load, 0.0)
+            server.known_load = max(server.known_load - session.load, 0.0)
         else:
-            server.known_load = 0.0  # nothing is left of it, whatever the rounding
-        sess.server = None
+            server.known_load = (
+                0.0  # no session of known load is left; a subtraction may leave a rounding error
+            )
+        session.server = None
 
-    def on_load(self, event: LoadReported) -> None:
-        sess = self.sessions.get(event.session_id)
-        if sess is None or not self.site.reports_load:
+    def on_load_reported(self, event: LoadReported) -> None:
+        session = self.sessions.get(event.session_id)
+        if session is None or not self.deployment.reports_load:
             return
-        if sess.load is None:
-            self.learn_load(event.load)
-        server = sess.server
-        self.leave(sess)
-        sess.load = event.load
+        if session.load is None:
+            self.record_load(event.load)
+        server = session.server
+        self.remove_from_sum(session)
+        session.load = event.load
         if server is not None:
-            self.join(sess, server)
+            self.add_to_sum(session, server)
 
     # Sessions
 
-    def on_came(self, event: SessionArrived) -> None:
+    def on_session_arrived(self, event: SessionArrived) -> None:
         load = None
-        if not self.site.reports_load and event.hint is not None:
+        if not self.deployment.reports_load and event.hint is not None:
             load = event.hint
-            self.learn_load(load)
-        self.came.append(self.now)
-        sess = Session(event.listener, self.now + event.budget, load, event.subject)
-        self.sessions[event.session_id] = sess
+            self.record_load(load)
+        self.dial_times.append(self.now)
+        session = Session(event.listener, self.now + event.budget, load, event.subject)
+        self.sessions[event.session_id] = session
         if event.mid_flow and event.subject is not None:
-            home = self.servers.get(self.homes.get(event.subject, -1))
-            if home is not None and home.state is not ServerState.GONE:
-                self.dial(event.session_id, sess, home)
+            # A flow that has moved here goes on at its server, also while that drains.
+            server = self.servers.get(self.subject_servers.get(event.subject, -1))
+            if server is not None and server.state is not ServerState.GONE:
+                self.dial(event.session_id, session, server)
                 return
-        self.place(event.session_id, sess)
-
-    def on_stands(self, event: SessionRestored) -> None:
-        load = None if self.site.reports_load else event.hint
-        sess = Session(event.listener, 0, load, event.subject)
-        sess.dials = 1
-        sess.standing = True
-        self.sessions[event.session_id] = sess
+        self.place(event.session_id, session)
+
+    def on_session_restored(self, event: SessionRestored) -> None:
+        load = None if self.deployment.reports_load else event.hint
+        session = Session(event.listener, 0, load, event.subject)
+        session.dial_count = 1
+        session.is_established = True
+        self.sessions[event.session_id] = session
         server = self.servers.get(event.server)
         if server is not None:
-            self.join(sess, server)
-            server.open_sessions[event.session_id] = sess
-            if self.site.is_passthrough and event.subject is not None:
-                self.homes[event.subject] = server.index
-
-    def on_left(self, event: SessionLeft) -> None:
-        sess = self.sessions.get(event.session_id)
-        if sess is None:
+            self.add_to_sum(session, server)
+            server.open_sessions[event.session_id] = session
+            if self.deployment.is_passthrough and event.subject is not None:
+                self.subject_servers[event.subject] = server.index
+
+    def on_session_left(self, event: SessionLeft) -> None:
+        session = self.sessions.get(event.session_id)
+        if session is None:
             return
-        if sess.server is None:
-            del self.sessions[event.session_id]  # no dial is out: it waited for a report
+        if session.server is None:
+            del self.sessions[event.session_id]  # no dial is pending: it waited for a probe
             return
-        sess.server.open_sessions.pop(event.session_id, None)
-        self.leave(sess)
-        sess.finished = True  # its dial is still out and will end; then the session is let go
-
-    def place(self, index: int, sess: Session) -> None:
-        """Dials the best server, or gives the final answer at once when no dial can help."""
-        left = sess.deadline - self.now
-        if self.storm and (self.setting_up >= self.room or self.now < self.pause_until):
-            self.give_up(index, sess, Reason.THROTTLED)
+        session.server.open_sessions.pop(event.session_id, None)
+        self.remove_from_sum(session)
+        session.has_left = True  # the end of its dial is still to come; the session is deleted then
+
+    def place(self, session_id: int, session: Session) -> None:
+        """Dials or probes the best server; gives the final answer at once when no dial can help."""
+        time_left = session.deadline - self.now
+        if self.is_throttling and (
+            self.pending_dials >= self.dial_limit or self.now < self.dials_paused_until
+        ):
+            self.reject(session_id, session, Reason.THROTTLED)
             return
-        reason = self.why_no_dial(sess, left)
+        reason = self.reason_against_dial(session, time_left)
         if reason is None:
             server = None
-            if sess.asked < ASKS and not self.is_crowded_out():
-                server = self.pick(sess)
-            # Guards against an overload in which one more session spoils those that stand.
-            fits = server is not None and not self.is_pressed(server)
-            if fits and not (self.wary and self.is_unheard(server)):
-                if self.site.may_probe and left > 2 * self.ask_wait and self.is_unknown(server):
-                    sess.asked_last = server
-                    self.ask(index, server)
+            if session.full_answers < MAX_FULL_ANSWERS and not self.sheds_session():
+                server = self.pick(session)
+            # One more session on a full server would spoil the service of those already open.
+            fits = server is not None and not self.is_at_cap(server)
+            if fits and not (self.assumes_unobserved_full and self.is_unobserved(server)):
+                if (
+                    self.deployment.may_probe
+                    and time_left > 2 * self.probe_timeout
+                    and self.needs_probe(server)
+                ):
+                    session.probed_server = server
+                    self.probe(session_id, server)
                 else:
-                    self.dial(index, sess, server)
+                    self.dial(session_id, session, server)
                 return
             reason = Reason.NO_CAPACITY if self.candidates.ready else Reason.NO_SERVER
             if self.candidates.ready:
-                if self.now - self.crowd_at > LOG_PAUSE:
-                    self.log(f"no room: {self.full_share:.2f} of the servers heard of at their cap; refusing")
-                self.crowd_at = self.now
-        self.give_up(index, sess, reason)
-
-    def why_no_dial(self, sess: Session, left: int) -> Reason | None:
-        """What forbids one more dial, whatever the servers."""
-        if sess.dials >= self.site.max_dials:
+                if self.now - self.no_capacity_at > LOG_REPEAT_INTERVAL:
+                    self.log(
+                        f"no capacity: {self.full_fraction:.2f} of the observed servers at their load cap; "
+                        "refusing"
+                    )
+                self.no_capacity_at = self.now
+        self.reject(session_id, session, reason)
+
+    def reason_against_dial(self, session: Session, time_left: int) -> Reason | None:
+        """Returns what forbids another dial of the session to any server, or None."""
+        if session.dial_count >= self.deployment.max_dials:
             return Reason.DIALS_EXHAUSTED
-        if left <= 2 * self.site.tick:
+        if time_left <= 2 * self.deployment.tick:
             return Reason.DEADLINE
-        return None if self.may_repeat(sess) else Reason.MAY_HAVE_RUN
+        return None if self.may_repeat(session) else Reason.MAY_HAVE_RUN
 
-    def is_unknown(self, server: Server) -> bool:
-        """Whether asking could help: no report that tells, and no question just left unanswered."""
+    def needs_probe(self, server: Server) -> bool:
+        """Whether no report tells the server's utilization and it has left no probe unanswered recently."""
         return self.now > server.report_valid_until and self.now >= server.silent_until
 
-    def ask(self, index: int, server: Server) -> None:
-        """Holds the session until the server that it would go to has told its load.
+    def probe(self, session_id: int, server: Server) -> None:
+        """Holds the session until the server that it would go to has reported its utilization.
 
-        Only what a decision needs is probed: the probes of all balancers grow with the sessions, not with
-        balancers times servers.
+        Servers are probed for decisions only, so that the probes of all balancers grow with the sessions
+        and not with balancers times servers. Sessions that need the same report wait for one probe.
         """
         self.candidates.activate(server)
         if not server.probe_waiters:
             server.probed_at = self.now
-            self.out.append(Probe(server.index))
-            self.set_timer(Timer.PROBE_TIMEOUT, server.index, self.ask_wait)
-        server.probe_waiters.append(index)
-
-    def answer(self, server: Server) -> None:
-        """Places the sessions that waited for this server's report, which has come or is overdue."""
-        asking, server.probe_waiters = server.probe_waiters, []
-        for index in asking:
-            sess = self.sessions.get(index)
-            if sess is not None:
-                sess.asked += self.is_pressed(server)
-                self.place(index, sess)
-
-    def may_repeat(self, sess: Session) -> bool:
-        if sess.may_have_run is None:
+            self.actions.append(Probe(server.index))
+            self.set_timer(Timer.PROBE_TIMEOUT, server.index, self.probe_timeout)
+        server.probe_waiters.append(session_id)
+
+    def place_probe_waiters(self, server: Server) -> None:
+        """Places the sessions that waited for this server's report, which has arrived or is overdue."""
+        waiters, server.probe_waiters = server.probe_waiters, []
+        for session_id in waiters:
+            session = self.sessions.get(session_id)
+            if session is not None:
+                session.full_answers += self.is_at_cap(server)
+                self.place(session_id, session)
+
+    def may_repeat(self, session: Session) -> bool:
+        """Whether the opening line may be sent again, as regards an earlier execution."""
+        if session.possible_executor is None:
             return True
-        listener = self.site.listeners[sess.listener]
+        listener = self.deployment.listeners[session.listener]
         if listener.effect is Effect.IDEMPOTENT:
             return True
         if listener.effect is Effect.AT_MOST_ONCE:
             return False
         return (
-            self.now + self.site.connect_timeout - sess.ran_at <= listener.dedup_window
-        )  # the line goes by then
-
-    def blame(self, sess: Session) -> None:
-        for server in sess.erred:
-            self.burden(server, self.load_of(sess))
-            self.set_up_went(server, False)
-        sess.erred = []
-
-    def give_up(self, index: int, sess: Session, reason: Reason) -> None:
-        if len(set(sess.erred)) == 1:
-            # Of several none is blamed: guards against a line that no server can use, taken for their fault.
-            self.blame(sess)
-        listener = self.site.listeners[sess.listener]
+            self.now + self.deployment.connect_timeout - session.possibly_ran_at <= listener.dedup_window
+        )  # the line is sent within the connect timeout
+
+    def count_errors(self, session: Session) -> None:
+        """Counts the errors that servers answered this session with as their failures."""
+        for server in session.errored_servers:
+            self.add_fading_load(server, self.load_of(session))
+            self.record_setup(server, False)
+        session.errored_servers = []
+
+    def reject(self, session_id: int, session: Session, reason: Reason) -> None:
+        """Gives the final answer to a session without a server, and forgets it.
+
+        It is refused if the client may safely open it again, with a random delay for that, or else torn down.
+        """
+        if len(set(session.errored_servers)) == 1:
+            # Errors from several servers count against none: the fault is likely in the client's line.
+            self.count_errors(session)
+        listener = self.deployment.listeners[session.listener]
         harmless = (
-            sess.may_have_run is None
+            session.possible_executor is None
             or listener.effect is Effect.IDEMPOTENT
             or (listener.effect is Effect.DEDUPLICATED and listener.dedup_scope is DedupScope.ALL)
         )
         if harmless:
-            most = self.site.max_retry_after
-            self.out.append(Refuse(index, int(self.uniform(most / 4, most)) if most else 0, reason))
+            longest = self.deployment.max_retry_after
+            self.actions.append(
+                Refuse(session_id, int(self.uniform(longest / 4, longest)) if longest else 0, reason)
+            )
         else:
-            self.out.append(TearDown(index, reason))
-        del self.sessions[index]
-
-    def dial(self, index: int, sess: Session, server: Server) -> None:
-        left = sess.deadline - self.now - 2 * self.site.tick
-        planned = min(PLANNED_DIALS, self.site.max_dials) - sess.dials
-        limit = left
-        if planned > 1 and not self.storm:
-            # A dial that does not stand within the handshake target gives way while another still fits.
-            target = self.site.listeners[sess.listener].handshake_target
-            limit = min(left // planned, max(target, self.site.connect_timeout))
-        sess.dials += 1
-        sess.dialled_at = self.now
-        sess.tried.append(server.index)
-        self.join(sess, server)
+            self.actions.append(TearDown(session_id, reason))
+        del self.sessions[session_id]
+
+    def dial(self, session_id: int, session: Session, server: Server) -> None:
+        """Dials the server and adds the session to its load sum."""
+        time_left = session.deadline - self.now - 2 * self.deployment.tick
+        planned = min(PLANNED_DIALS, self.deployment.max_dials) - session.dial_count
+        limit = time_left
+        if planned > 1 and not self.is_throttling:
+            # A dial that is not established within the handshake target is given up while there is still time
+            # for another.
+            target = self.deployment.listeners[session.listener].handshake_target
+            limit = min(time_left // planned, max(target, self.deployment.connect_timeout))
+        session.dial_count += 1
+        session.dialled_at = self.now
+        session.tried_servers.append(server.index)
+        self.add_to_sum(session, server)
         server.pending_dials += 1
-        self.setting_up += 1
+        self.pending_dials += 1
         if server.is_unhealthy:
-            server.trial_at = self.trial_time(server)
-        if self.is_cold(server) or self.is_gated():
-            server.sent_loads.append((self.now, self.load_of(sess)))
-        self.out.append(Dial(index, server.index, max(limit, 1)))
+            server.trial_at = self.next_trial_time(server)
+        if self.is_cold(server) or self.is_growth_limited():
+            server.sent_loads.append((self.now, self.load_of(session)))
+        self.actions.append(Dial(session_id, server.index, max(limit, 1)))
 
-    def on_established(self, event: SessionEstablished) -> None:
-        sess = self.sessions.get(event.session_id)
+    def on_session_established(self, event: SessionEstablished) -> None:
+        session = self.sessions.get(event.session_id)
         server = self.servers[event.server]
         server.pending_dials -= 1
-        self.setting_up -= 1
-        self.set_up_went(server, True, late=event.setup_duration > self.late_after)
-        if not self.site.reports_delay:
-            self.judge_set_up(server, event.setup_duration)
+        self.pending_dials -= 1
+        self.record_setup(server, True, is_late=event.setup_duration > self.late_setup_threshold)
+        if not self.deployment.reports_delay:
+            self.infer_delay(server, event.setup_duration)
         if not self.is_cold(server):
-            own = server.zone == self.site.zone
-            self.nearest[own] = min(event.setup_duration, self.nearest.get(own, event.setup_duration))
-            self.work.setdefault(server.kind, deque(maxlen=RECENT_LIMIT)).append((own, event.setup_duration))
-        if sess is None:
+            in_own_zone = server.zone == self.deployment.zone
+            self.quickest_by_distance[in_own_zone] = min(
+                event.setup_duration, self.quickest_by_distance.get(in_own_zone, event.setup_duration)
+            )
+            self.kind_setups.setdefault(server.kind, deque(maxlen=RECENT_LIMIT)).append(
+                (in_own_zone, event.setup_duration)
+            )
+        if session is None:
             return
-        self.blame(sess)
-        sess.standing = True
-        if sess.finished:
+        self.count_errors(session)
+        session.is_established = True
+        if session.has_left:
             return
-        server.open_sessions[event.session_id] = sess
-        if self.site.is_passthrough and sess.subject is not None:
-            self.homes[sess.subject] = server.index
+        server.open_sessions[event.session_id] = session
+        if self.deployment.is_passthrough and session.subject is not None:
+            self.subject_servers[session.subject] = server.index
 
     def on_dial_ended(self, event: DialEnded) -> None:
+        """Ends an established session, or evaluates the failed set-up and places the session again."""
         server = self.servers[event.server]
         if event.utilization is not None:
-            self.take_report(server, event.utilization)
-        sess = self.sessions.get(event.session_id)
-        if sess is None:
+            self.record_utilization(server, event.utilization)
+        session = self.sessions.get(event.session_id)
+        if session is None:
             return
         outcome = event.outcome
-        lost = self.load_of(sess)
-        self.leave(sess)
-        if sess.standing:
+        lost_load = self.load_of(session)
+        self.remove_from_sum(session)
+        if session.is_established:
             server.open_sessions.pop(event.session_id, None)
             if outcome not in (DialOutcome.COMPLETED, DialOutcome.CANCELLED, DialOutcome.MOVED):
-                # Guards against a server that resets its connections and so empties its sum.
-                self.burden(server, lost)
-            if self.site.is_passthrough and sess.subject is not None:
-                self.homes.pop(sess.subject, None)
+                # A server that drops its sessions would attract new ones by its emptied load sum.
+                self.add_fading_load(server, lost_load)
+            if self.deployment.is_passthrough and session.subject is not None:
+                self.subject_servers.pop(session.subject, None)
         else:
             server.pending_dials -= 1
-            self.setting_up -= 1
+            self.pending_dials -= 1
             if outcome is DialOutcome.COMPLETED:
-                self.set_up_went(server, True)  # answered in one piece, without being established first
+                self.record_setup(server, True)  # answered in one piece, without being established before
             elif outcome is DialOutcome.REJECTED:
-                server.full_until = self.now + int(self.uniform(self.try_wait / 2, self.try_wait))
+                server.full_until = self.now + int(self.uniform(self.backoff / 2, self.backoff))
             elif outcome is DialOutcome.ERROR:
-                sess.erred.append(server)
+                session.errored_servers.append(server)
             elif outcome not in (DialOutcome.CANCELLED, DialOutcome.MOVED, DialOutcome.NOT_SENT):
-                self.burden(server, lost)
-                self.set_up_went(server, False, outcome is DialOutcome.UNREACHABLE)
-        if event.complete or sess.standing or sess.finished:
+                self.add_fading_load(server, lost_load)
+                self.record_setup(server, False, outcome is DialOutcome.UNREACHABLE)
+        if event.complete or session.is_established or session.has_left:
             del self.sessions[event.session_id]
             return
-        if outcome not in NEVER_EXECUTED and sess.may_have_run is None:
-            sess.may_have_run = server
-            sess.ran_at = sess.dialled_at
-        self.came.append(self.now)
-        self.place(event.session_id, sess)
+        if outcome not in NEVER_EXECUTED and session.possible_executor is None:
+            session.possible_executor = server
+            session.possibly_ran_at = session.dialled_at
+        self.dial_times.append(self.now)
+        self.place(event.session_id, session)
 
-    # The pick
+    # Choice of the server
 
-    def pick(self, sess: Session) -> Server | None:
-        """The smallest own summed load among the servers that may be used; random among ties.
+    def pick(self, session: Session) -> Server | None:
+        """Returns the server with the smallest load sum among those of the best rank, a random one among
+        ties.
 
-        Where the list gives weights the chances of tied servers go by them, and by nothing else.
+        Ties are drawn by the list's weights, by kinds of machine and by the lack of newcomers
+        (`draw_candidate`). Cold servers, and others while their growth is limited, are passed over when
+        their budget is used up. Returns None if no server may take the session.
         """
-        ahead = self.load_of(sess)
-        # Guards against an overload in which a balancer with few sessions keeps filling servers of which
-        # it hears nothing, as their sums are zero: by chance they are taken to be like those heard of.
-        self.wary = not self.site.may_probe and self.uniform(0, 1) < self.full_share
-        self.prepare(sess)
-        if self.now - self.kinds_at > LOOK_EVERY:
-            self.look_at_kinds()
-        passed: set[int] = set()  # without room, cold or under the bound on blind growth
-        spent = False  # no idle cold server has room
-        sums: WarmSums | None = None
-        while ties := self.least(sess, ahead, passed, spent):
-            asked = sess.asked_last  # its report was waited for
-            if asked is not None and asked in ties.servers:
-                sums = sums or self.warm_sums()
-                if self.lets_in(asked, ahead, ties, sums):
-                    return asked
-                passed.add(asked.index)
-                ties.servers.remove(asked)
-            # Cold ones come first among ties: guards against windows that pass unused where many tie.
-            cold, warm = self.split(ties)
+        load = self.load_of(session)
+        # A balancer with few sessions observes few servers; the sums of the others are zero, so that in an
+        # overload it would keep filling them. They are assumed to be full with the probability that an
+        # observed server is.
+        self.assumes_unobserved_full = (
+            not self.deployment.may_probe and self.uniform(0, 1) < self.full_fraction
+        )
+        self.update_candidates(session)
+        if self.now - self.kinds_updated_at > RECOUNT_INTERVAL:
+            self.update_kinds()
+        excluded: set[int] = set()  # servers whose budget does not admit the session
+        skips_idle_cold = False  # no idle cold server admits it
+        warm_loads: WarmLoads | None = None
+        while ties := self.best_ties(session, load, excluded, skips_idle_cold):
+            probed = session.probed_server  # preferred, as the session has waited for its report
+            if probed is not None and probed in ties.servers:
+                warm_loads = warm_loads or self.warm_loads()
+                if self.admits(probed, load, ties, warm_loads):
+                    return probed
+                excluded.add(probed.index)
+                ties.servers.remove(probed)
+            # Cold servers come first among ties, as their windows would pass unused where many servers tie.
+            cold, warm = self.split_cold(ties)
             if cold:
-                sums = sums or self.warm_sums()
-                server = self.pick_cold(cold, ahead, sums)
+                warm_loads = warm_loads or self.warm_loads()
+                server = self.pick_cold(cold, load, warm_loads)
                 if server is not None:
                     return server
-                passed.update(one.index for one in cold.servers)
-                spent = spent or bool(cold.groups)
-            server = self.pick_warm(warm, ahead, passed, sums)
+                excluded.update(one.index for one in cold.servers)
+                skips_idle_cold = skips_idle_cold or bool(cold.groups)
+            server = self.pick_warm(warm, load, excluded, warm_loads)
             if server is not None:
                 return server
         return None
 
-    def prepare(self, sess: Session) -> None:
-        """Brings what is idle up to date, and takes out of it what this session can't be sent to alike."""
+    def update_candidates(self, session: Session) -> None:
+        """Updates the groups of idle servers, and activates those that this session has to treat
+        differently."""
         candidates = self.candidates
         candidates.advance_stages(self.now)
-        if self.now - self.settled_at >= SETTLE_EVERY:
-            self.settled_at = self.now
+        if self.now - self.regrouped_at >= REGROUP_INTERVAL:
+            self.regrouped_at = self.now
             candidates.regroup_idle(self.now, list(candidates.active.values()))
-        for index in sess.tried:
+        for index in session.tried_servers:
             candidates.activate(self.servers[index])
-        if self.keeps_to_cell(sess):
-            for server in candidates.by_cell.get(sess.may_have_run.cell, {}).values():
+        if self.is_bound_to_cell(session):
+            for server in candidates.by_cell.get(session.possible_executor.cell, {}).values():
                 candidates.activate(server)
 
-    def split(self, ties: Ties) -> tuple[Ties, Ties]:
-        """The cold ones and the others."""
+    def split_cold(self, ties: Ties) -> tuple[Ties, Ties]:
+        """Returns the cold candidates and the others."""
         cold, warm = Ties([], []), Ties([], [])
         for server in ties.servers:
             (cold if self.is_cold(server) else warm).servers.append(server)
@@ -641,176 +725,226 @@
             (cold if isinstance(group, ColdGroup) else warm).groups.append(group)
         return cold, warm
 
-    def pick_cold(self, ties: Ties, ahead: float, sums: WarmSums) -> Server | None:
-        """Drawn among those whose budget lets this session in; None if there is none."""
-        site = self.site
-        granted = [one for one in ties.servers if self.lets_in(one, ahead, ties, sums)]
+    def pick_cold(self, ties: Ties, load: float, warm_loads: WarmLoads) -> Server | None:
+        """Draws one of the cold servers whose budget admits the session; None if there is none."""
+        deployment = self.deployment
+        admitting = [one for one in ties.servers if self.admits(one, load, ties, warm_loads)]
         for group in ties.groups:
-            group.renew_draws(self.now, site.overload_window, self.uniform)
-            most = self.able_part(max(site.start_capacity, 1.0)) * self.sum_of_kind(group.key.kind, sums)
-            chance = 1.0 if most >= ahead else chance_for(most / max(ahead, self.mean), site.replicas)
-            granted += [one for one in group.drawn_below(chance) if self.lets_in(one, ahead, ties, sums)]
-        if len(granted) < 2:
-            return granted[0] if granted else None
-        shares = self.shares_of_kinds(ties)
-        return self.choices(granted, [self.draw_weight(one) * shares[one.kind] for one in granted])[0]
-
-    def pick_warm(self, ties: Ties, ahead: float, passed: set[int], sums: WarmSums | None) -> Server | None:
-        """Drawn among these; None if the bound on blind growth lets none of them take the session."""
+            group.renew_draws(self.now, deployment.overload_window, self.uniform)
+            # An upper bound of the members' budgets selects those worth checking.
+            highest = self.budget_ratio(max(deployment.start_capacity, 1.0)) * self.warm_capacity_share(
+                group.key.kind, warm_loads
+            )
+            probability = (
+                1.0
+                if highest >= load
+                else admission_probability(highest / max(load, self.mean_load), deployment.replicas)
+            )
+            admitting += [
+                one for one in group.drawn_below(probability) if self.admits(one, load, ties, warm_loads)
+            ]
+        if len(admitting) < 2:
+            return admitting[0] if admitting else None
+        scales = self.kind_scales(ties)
+        return self.choices(admitting, [self.draw_weight(one) * scales[one.kind] for one in admitting])[0]
+
+    def pick_warm(
+        self, ties: Ties, load: float, excluded: set[int], warm_loads: WarmLoads | None
+    ) -> Server | None:
+        """Draws one of these servers; None if the growth limit lets none of them take the session."""
         while ties:
-            drawn = self.draw(ties)
+            drawn = self.draw_candidate(ties)
             if isinstance(drawn, Group):
-                return drawn.draw(self.uniform)  # where that bound acts, idle ones are refused by `place`
-            if not self.is_gated():
+                return drawn.draw(self.uniform)  # while growth is limited, `place` refuses idle servers
+            if not self.is_growth_limited():
                 return drawn
-            sums = sums or self.warm_sums()
-            if self.lets_in(drawn, ahead, ties, sums):
+            warm_loads = warm_loads or self.warm_loads()
+            if self.admits(drawn, load, ties, warm_loads):
                 return drawn
-            passed.add(drawn.index)
+            excluded.add(drawn.index)
             ties.servers.remove(drawn)
         return None
 
-    def lets_in(self, server: Server, ahead: float, ties: Ties, sums: WarmSums) -> bool:
-        """Whether the budget of a cold server, or the bound on blind growth, has room for this session."""
-        cold = self.is_cold(server)
-        if not (cold or self.is_gated()):
+    def admits(self, server: Server, load: float, ties: Ties, warm_loads: WarmLoads) -> bool:
+        """Whether the slow start budget of a cold server, or the growth limit of another, admits this
+        load."""
+        is_cold = self.is_cold(server)
+        if not (is_cold or self.is_growth_limited()):
             return True
-        share = self.cold_part(server) if cold else BLIND
-        window = self.site.overload_window if cold else BLIND_FOR
-        room = self.room_left(server, share * self.sum_of_kind(server.kind, sums), window)
-        return room >= ahead or (room > 0 and self.may_grant(server, room, ahead, window, ties))
+        ratio = self.cold_budget_ratio(server) if is_cold else GROWTH_LIMIT
+        window = self.deployment.overload_window if is_cold else GROWTH_WINDOW
+        budget = self.remaining_budget(
+            server, ratio * self.warm_capacity_share(server.kind, warm_loads), window
+        )
+        return budget >= load or (budget > 0 and self.admits_by_chance(server, budget, load, window, ties))
 
-    def draw(self, ties: Ties) -> Server | Group:
-        """By the list's weights, of each kind of machine by its part, and within it by what newcomers lack.
+    def draw_candidate(self, ties: Ties) -> Server | Group:
+        """Draws a kind of machine by its share of the sessions, then one of that kind by `draw_weight`.
 
-        Guards against many balancers whose sums are zero nearly everywhere, so that all their ties together
-        level what is not alike: slow kinds came to hold as many as fast ones, newcomers stayed empty.
+        Where balancers have few sessions, nearly all load sums are zero and nearly all placements are ties.
+        Drawn evenly, slow kinds would come to hold as many sessions as fast ones, and newcomers would stay
+        empty.
         """
-        parts: list[Server | Group] = [*ties.servers, *ties.groups]
-        if len(parts) == 1:
-            return parts[0]
-        if len(self.kind_parts) > 1:
-            tied: dict[int, list[Server | Group]] = {}
-            for part in parts:
-                tied.setdefault(kind_of(part), []).append(part)
-            parts = tied[self.choices(list(tied), [self.kind_parts[kind] for kind in tied])[0]]
-        return self.choices(parts, [self.draw_weight(part) for part in parts])[0]
-
-    def draw_weight(self, part: Server | Group) -> float:
-        """Less for settled servers while newcomers of their kind lack sessions."""
-        pull = self.pull.get(kind_of(part), 1.0)
-        if pull < 1.0:
-            stage = part.key.stage if isinstance(part, Group) else self.candidates.stage_of(part, self.now)
-            pull = pull if stage is AgeStage.SETTLED else 1.0
-        return part.weight * pull
-
-    def shares_of_kinds(self, ties: Ties) -> dict[int, float]:
-        """By kind, what makes a member's weight its chance to be drawn among all of these."""
+        candidates: list[Server | Group] = [*ties.servers, *ties.groups]
+        if len(candidates) == 1:
+            return candidates[0]
+        if len(self.kind_shares) > 1:
+            by_kind: dict[int, list[Server | Group]] = {}
+            for candidate in candidates:
+                by_kind.setdefault(kind_of(candidate), []).append(candidate)
+            candidates = by_kind[self.choices(list(by_kind), [self.kind_shares[kind] for kind in by_kind])[0]]
+        return self.choices(candidates, [self.draw_weight(candidate) for candidate in candidates])[0]
+
+    def draw_weight(self, candidate: Server | Group) -> float:
+        """Returns its weight on the list, reduced for settled servers while newcomers of their kind lack
+        sessions."""
+        factor = self.settled_weights.get(kind_of(candidate), 1.0)
+        if factor < 1.0:
+            stage = (
+                candidate.key.stage
+                if isinstance(candidate, Group)
+                else self.candidates.stage_of(candidate, self.now)
+            )
+            factor = factor if stage is AgeStage.SETTLED else 1.0
+        return candidate.weight * factor
+
+    def kind_scales(self, ties: Ties) -> dict[int, float]:
+        """Returns factors by kind; `draw_weight` times the factor draws kinds by their shares in a single
+        draw."""
         weights: dict[int, float] = {}
-        for part in (*ties.servers, *ties.groups):
-            kind = kind_of(part)
-            weights[kind] = weights.get(kind, 0.0) + self.draw_weight(part)
-        if len(self.kind_parts) < 2:
+        for candidate in (*ties.servers, *ties.groups):
+            kind = kind_of(candidate)
+            weights[kind] = weights.get(kind, 0.0) + self.draw_weight(candidate)
+        if len(self.kind_shares) < 2:
             return dict.fromkeys(weights, 1.0)
-        return {kind: self.kind_parts[kind] / weight for kind, weight in weights.items()}
-
-    def chance_of(self, server: Server, ties: Ties) -> float:
-        """That these ties are drawn for it."""
-        parts = self.kind_parts
-        tied = (*ties.servers, *ties.groups)
-        part = parts[server.kind] / sum(parts[kind] for kind in {kind_of(one) for one in tied})
-        alike = sum(self.draw_weight(one) for one in tied if kind_of(one) == server.kind)
-        return part * self.draw_weight(server) / alike
+        return {kind: self.kind_shares[kind] / weight for kind, weight in weights.items()}
+
+    def draw_probability(self, server: Server, ties: Ties) -> float:
+        """Returns the probability with which `draw_candidate` draws the server."""
+        shares = self.kind_shares
+        candidates = (*ties.servers, *ties.groups)
+        kind_probability = shares[server.kind] / sum(
+            shares[kind] for kind in {kind_of(one) for one in candidates}
+        )
+        kind_weight = sum(self.draw_weight(one) for one in candidates if kind_of(one) == server.kind)
+        return kind_probability * self.draw_weight(server) / kind_weight
 
-    def look_at_kinds(self) -> None:
-        """Sessions and not their loads, which differ too much; one more is taken to be spread over all.
+    def update_kinds(self) -> None:
+        """Computes from the open sessions what servers of each kind of machine carry.
 
-        What a kind carries is told by servers that have been there for long; newcomers hold less for a while.
+        Sessions are counted, as their loads differ too much. One more session is taken to be spread over
+        all servers, so that no kind has a share of zero. Settled servers show what a kind carries;
+        newcomers hold less for a while.
         """
-        self.kinds_at = self.now
-        settled: dict[int, Holding] = {}
-        young: dict[int, Holding] = {}
+        self.kinds_updated_at = self.now
+        settled: dict[int, KindCounts] = {}
+        young: dict[int, KindCounts] = {}
         for group in self.candidates.idle_groups():
-            among = settled if group.key.stage is AgeStage.SETTLED else young
-            among.setdefault(group.key.kind, Holding()).servers += len(group.members)
+            counts = settled if group.key.stage is AgeStage.SETTLED else young
+            counts.setdefault(group.key.kind, KindCounts()).servers += len(group.members)
         for server in self.candidates.active.values():
             is_settled = self.candidates.stage_of(server, self.now) is AgeStage.SETTLED
-            holding = (settled if is_settled else young).setdefault(server.kind, Holding())
-            holding.servers += 1
-            holding.sessions += len(server.open_sessions)
-        told = settled or young
-        count = sum(one.servers for one in told.values())
-        usual = (sum(one.sessions for one in told.values()) + 1) / max(count, 1)
-        carries = dict.fromkeys([*settled, *young], usual)
-        carries |= {kind: one.mean + 1 / count for kind, one in told.items()}
-        lack = {kind: min(one.mean / carries[kind], 1.0) for kind, one in young.items()}
-        self.heed_work(carries, usual)
-        self.kind_parts = {
-            kind: carried * sum(among[kind].servers for among in (settled, young) if kind in among)
-            for kind, carried in carries.items()
+            kind_counts = (settled if is_settled else young).setdefault(server.kind, KindCounts())
+            kind_counts.servers += 1
+            kind_counts.sessions += len(server.open_sessions)
+        representative = settled or young
+        count = sum(one.servers for one in representative.values())
+        mean = (sum(one.sessions for one in representative.values()) + 1) / max(count, 1)
+        carried = dict.fromkeys([*settled, *young], mean)  # sessions per server, by kind
+        carried |= {kind: one.sessions_per_server + 1 / count for kind, one in representative.items()}
+        young_fractions = {
+            kind: min(one.sessions_per_server / carried[kind], 1.0) for kind, one in young.items()
+        }
+        self.correct_by_setup_times(carried, mean)
+        self.kind_shares = {
+            kind: sessions * sum(counts[kind].servers for counts in (settled, young) if kind in counts)
+            for kind, sessions in carried.items()
+        }
+        self.load_factors = {kind: mean / sessions for kind, sessions in carried.items()}
+        self.settled_weights = {
+            kind: max(fraction, MIN_SETTLED_WEIGHT) for kind, fraction in young_fractions.items()
         }
-        self.ease = {kind: usual / carried for kind, carried in carries.items()}
-        self.pull = {kind: max(part, LEAST_PULL) for kind, part in lack.items()}
 
-    def heed_work(self, carries: dict[int, float], usual: float) -> None:
-        """Corrects what kinds carry by what set-ups took beyond the quickest as far, which goes by speed.
+    def correct_by_setup_times(self, carried: dict[int, float], mean: float) -> None:
+        """Corrects the sessions per server by the time that set-ups take on each kind, which shows its speed.
 
-        Guards against a fleet filled without regard to speeds, whose parts a few sessions would repeat. The
-        median: guards against one slow server that speaks for its kind.
+        Without it, a fleet once filled regardless of speed would keep its distribution. The time of a
+        set-up is what it took beyond the quickest at the same distance (own zone or another). The median is
+        used, so that one slow server does not speak for its kind. SETUP_WAITS_LIMIT assumed set-ups of the
+        expected time are added, so that few observations change little.
         """
-        excess = {k: sorted(one - self.nearest[own] for own, one in self.work.get(k, ())) for k in carries}
-        took = {k: len(each) * each[len(each) // 2] if each else 0 for k, each in excess.items()}
-        due = sum(len(each) * usual / carries[kind] for kind, each in excess.items())
-        unit = sum(took.values()) / max(due, 1)  # of work, of a kind that carries the usual
+        excess = {
+            k: sorted(took - self.quickest_by_distance[near] for near, took in self.kind_setups.get(k, ()))
+            for k in carried
+        }
+        total = {k: len(each) * each[len(each) // 2] if each else 0 for k, each in excess.items()}
+        expected = sum(len(each) * mean / carried[kind] for kind, each in excess.items())
+        unit = sum(total.values()) / max(expected, 1)  # time per set-up, on a kind that carries the mean
         for k, each in excess.items() if unit else ():
-            work = took[k] + SETUP_WAITS_LIMIT * unit * usual / carries[k]
-            carries[k] = usual * unit * (len(each) + SETUP_WAITS_LIMIT) / work
+            time = total[k] + SETUP_WAITS_LIMIT * unit * mean / carried[k]
+            carried[k] = mean * unit * (len(each) + SETUP_WAITS_LIMIT) / time
+
+    def best_ties(
+        self, session: Session, load: float, excluded: set[int], skips_idle_cold: bool
+    ) -> Ties | None:
+        """Returns the servers of the lowest rank that tie for the smallest scaled load sum.
 
-    def least(self, sess: Session, ahead: float, passed: set[int], spent: bool) -> Ties | None:
-        """The servers of the best rank that tie for the smallest sum; `spent`: no idle cold ones."""
+        Ranks: -1 in the own zone where crossings cost; 0 usable; 1 at its load cap, or unobserved and
+        assumed to be; 2 backing off after a refusal or an unanswered probe; 3 ejected and not due for a
+        trial; 4 already tried.
+        """
         now = self.now
-        mean = self.mean
-        home, dear = self.site.zone, self.site.may_probe and self.site.cross_zone_price > 0
-        wary = self.wary
+        mean_load = self.mean_load
+        own_zone, prefers_own_zone = (
+            self.deployment.zone,
+            self.deployment.may_probe and self.deployment.cross_zone_price > 0,
+        )
+        assumes_unobserved_full = self.assumes_unobserved_full
         best: list[Server] = []
         best_key = (9, 0.0)
         for server in self.candidates.active.values():
-            if sess.may_have_run is not None and not self.drops_repeat(sess, server):
+            if session.possible_executor is not None and not self.shares_deduplication(session, server):
                 continue
-            if passed and server.index in passed:
+            if excluded and server.index in excluded:
                 continue
             rank = 0
-            if sess.tried and server.index in sess.tried:
+            if session.tried_servers and server.index in session.tried_servers:
                 rank = 4
             elif server.is_unhealthy and (now < server.trial_at or server.pending_dials):
                 rank = 3
             elif server.full_until > now or server.silent_until > now:
                 rank = 2
-            elif (  # spares calls, as it runs for each server: is_pressed, then what else tells of a cap
+            elif (  # the first two are `is_at_cap`, inlined as this runs for each server
                 now <= server.slow_until
-                or (now <= server.report_valid_until and self.load_now(server) >= CAP)
-                or (server.slow_loads and self.would_crowd(server, ahead))
-                or (wary and not server.open_sessions and self.is_unheard(server))
+                or (now <= server.report_valid_until and self.estimated_utilization(server) >= LOAD_CAP)
+                or (server.slow_loads and self.exceeds_learned_cap(server, load))
+                or (assumes_unobserved_full and not server.open_sessions and self.is_unobserved(server))
             ):
                 rank = 1
-            elif dear and server.zone == home:
-                # Guards against paying for a crossing while no report denies room in the own zone.
+            elif prefers_own_zone and server.zone == own_zone:
+                # The price of a crossing is paid only when reports show no capacity in the own zone.
                 rank = -1
             if rank > best_key[0]:
                 continue
-            load = server.known_load + server.unknown_load_count * mean
+            load_sum = server.known_load + server.unknown_load_count * mean_load
             if now < server.fading_since + FADE_TIME:
-                load += self.faded(server)
-            key = (rank, load * self.ease.get(server.kind, 1.0))
+                load_sum += self.remaining_fading_load(server)
+            key = (rank, load_sum * self.load_factors.get(server.kind, 1.0))
             if key < best_key:
                 best_key = key
                 best = [server]
             elif key == best_key:
                 best.append(server)
         groups: list[Group] = []
-        for group in self.idle_for(sess, spent):
+        for group in self.eligible_groups(session, skips_idle_cold):
             is_cold = isinstance(group, ColdGroup)
-            rank = 1 if wary and not is_cold else -1 if dear and group.key.zone == home else 0
+            rank = (
+                1
+                if assumes_unobserved_full and not is_cold
+                else -1
+                if prefers_own_zone and group.key.zone == own_zone
+                else 0
+            )
             key = (rank, 0.0)
             if key < best_key:
                 best_key = key
@@ -820,366 +954,441 @@
                 groups.append(group)
         return Ties(best, groups) if best or groups else None
 
-    def idle_for(self, sess: Session, spent: bool) -> list[Group]:
-        """The idle servers that this session may be sent to, by groups."""
-        if self.keeps_to_cell(sess):
-            return []  # those of its cell are active now
+    def eligible_groups(self, session: Session, skips_idle_cold: bool) -> list[Group]:
+        """Returns the groups of idle servers that this session may be sent to."""
+        if self.is_bound_to_cell(session):
+            return []  # `update_candidates` has activated the servers of its cell
         groups = self.candidates.idle_groups()
-        if spent:
+        if skips_idle_cold:
             groups = [group for group in groups if not isinstance(group, ColdGroup)]
-        if sess.may_have_run is not None and self.scope_of(sess) is DedupScope.ZONE:
-            groups = [group for group in groups if group.key.zone == sess.may_have_run.zone]
+        if session.possible_executor is not None and self.dedup_scope_of(session) is DedupScope.ZONE:
+            groups = [group for group in groups if group.key.zone == session.possible_executor.zone]
         return groups
 
-    def scope_of(self, sess: Session) -> DedupScope:
-        """Within which servers drop a repeat of this session's line."""
-        listener = self.site.listeners[sess.listener]
+    def dedup_scope_of(self, session: Session) -> DedupScope:
+        """Returns the scope of the servers that may get the opening line again after a possible execution."""
+        listener = self.deployment.listeners[session.listener]
         return listener.dedup_scope if listener.effect is Effect.DEDUPLICATED else DedupScope.ALL
 
-    def keeps_to_cell(self, sess: Session) -> bool:
-        return sess.may_have_run is not None and self.scope_of(sess) is DedupScope.CELL
+    def is_bound_to_cell(self, session: Session) -> bool:
+        return session.possible_executor is not None and self.dedup_scope_of(session) is DedupScope.CELL
 
-    def drops_repeat(self, sess: Session, server: Server) -> bool:
-        ran, scope = sess.may_have_run, self.scope_of(sess)
-        if ran is None or scope is DedupScope.ALL:
+    def shares_deduplication(self, session: Session, server: Server) -> bool:
+        """Whether the server would recognize a repeat of the line that another server may have executed."""
+        executor, scope = session.possible_executor, self.dedup_scope_of(session)
+        if executor is None or scope is DedupScope.ALL:
             return True
-        return server.zone == ran.zone if scope is DedupScope.ZONE else server.cell == ran.cell
+        return server.zone == executor.zone if scope is DedupScope.ZONE else server.cell == executor.cell
 
-    # Cold servers
+    # Slow start of cold servers, and the growth limit
 
     def is_cold(self, server: Server) -> bool:
-        return server.started > 0 and self.now - server.started < self.site.warm_after
+        return server.started > 0 and self.now - server.started < self.deployment.warm_after
 
-    def warm_sums(self) -> WarmSums:
-        """What the warm servers hold of this balancer's sessions; all servers, where none is warm."""
+    def warm_loads(self) -> WarmLoads:
+        """Returns the load sums of the warm servers; of all servers, where none is warm."""
         candidates = self.candidates
         candidates.advance_stages(self.now)
         any_warm = any(group.key.stage is not AgeStage.COLD for group in candidates.idle_groups())
         any_warm = any_warm or any(not self.is_cold(one) for one in candidates.active.values())
-        sums = WarmSums()
+        loads = WarmLoads()
         for group in candidates.idle_groups():
             if not any_warm or group.key.stage is not AgeStage.COLD:
-                sums.add(group.key.kind, 0.0, len(group.members))
+                loads.add(group.key.kind, 0.0, len(group.members))
         for server in candidates.active.values():
             if not any_warm or not self.is_cold(server):
-                sums.add(server.kind, self.own_sum(server), 1)
-        return sums
+                loads.add(server.kind, self.load_sum(server), 1)
+        return loads
 
-    def sum_of_kind(self, kind: int, sums: WarmSums) -> float:
-        """This balancer's part of what a warm server of this kind is known to be able to carry.
+    def warm_capacity_share(self, kind: int, warm_loads: WarmLoads) -> float:
+        """Returns this balancer's share of what a warm server of this kind is known to be able to carry, as
+        a load.
 
-        It is what they hold, or where that is less, what the members' shares promise of each server: guards
-        against cold servers held to what the warm ones happen to carry, far under what they could.
+        That is the load that they hold from this balancer or, where it is more, this balancer's part of the
+        connections that the fleet has to carry, divided by the servers. Otherwise cold servers would be
+        limited by what the warm ones happen to carry, which may be far below their capacity.
         """
-        site = self.site
-        fair = max(site.quota_connections / max(self.most_listed, 1), 1) * self.mean / site.replicas
-        mean = sums.mean()
+        deployment = self.deployment
+        fair = (
+            max(deployment.quota_connections / max(self.max_listed_count, 1), 1)
+            * self.mean_load
+            / deployment.replicas
+        )
+        mean = warm_loads.mean()
         if not mean:
             return fair
-        # Less a session: guards against balancers that hold more than promised by chance, which add up.
-        held = mean - self.mean / sums.servers if site.quota_connections else mean
-        return max(sums.mean_of(kind) / mean * max(fair, held), self.mean / site.replicas)
+        # The maximum with `fair` counts the balancers that hold more by chance, but not those that hold
+        # less; over many balancers the excess adds up, so one session over all warm servers is subtracted.
+        held = mean - self.mean_load / warm_loads.server_count if deployment.quota_connections else mean
+        return max(
+            warm_loads.mean_of_kind(kind) / mean * max(fair, held), self.mean_load / deployment.replicas
+        )
 
-    def is_gated(self) -> bool:
-        """By the chance that a server is full, what the others are sent until the next note is bounded.
+    def is_growth_limited(self) -> bool:
+        """Whether this pick limits what a server is sent until its next delay report.
 
-        Guards against all balancers crowding in turn whatever server is not yet known to be full. Only where
-        the deployment states what servers are to carry: a tenth of a sum of one or two would be nothing.
+        That is so with the probability that a server is full: otherwise all balancers would crowd each
+        server that is not yet known to be full, one after another. The limit needs the quota, since a tenth
+        of a load sum of one or two sessions would be nothing.
         """
-        return self.wary and self.site.quota_connections > 0
+        return self.assumes_unobserved_full and self.deployment.quota_connections > 0
+
+    def cold_budget_ratio(self, server: Server) -> float:
+        """Returns what a cold server may be sent in a window, relative to the load that a warm one carries.
 
-    def cold_part(self, server: Server) -> float:
-        """What a cold server may be sent in a window, of what a warm one carries."""
-        site = self.site
+        Its capacity grows linearly from `start_capacity` at its start to 1 at `warm_after`.
+        """
+        deployment = self.deployment
         age = max(self.now - server.started, 0)
-        return self.able_part(site.start_capacity + (1 - site.start_capacity) * age / site.warm_after)
+        return self.budget_ratio(
+            deployment.start_capacity + (1 - deployment.start_capacity) * age / deployment.warm_after
+        )
 
-    def able_part(self, able: float) -> float:
-        """The same, where it can surely do this much of what it can when warm."""
-        site = self.site
-        return site.overload_factor * able * site.overload_window / site.warm_after
+    def budget_ratio(self, capacity: float) -> float:
+        """Returns the budget ratio of a server that has this part of its warm capacity."""
+        deployment = self.deployment
+        return deployment.overload_factor * capacity * deployment.overload_window / deployment.warm_after
 
-    def room_left(self, server: Server, budget: float, window: int) -> float:
-        """What is left of this balancer's part of what the server may be sent in a window."""
+    def remaining_budget(self, server: Server, budget: float, window: int) -> float:
+        """Subtracts what this balancer has sent to the server in the window from its budget, all as loads."""
         sent = server.sent_loads
         while sent and sent[0][0] <= self.now - window:
             del sent[0]
         return budget - sum(load for _, load in sent)
 
-    def may_grant(self, server: Server, room: float, ahead: float, window: int, ties: Ties) -> bool:
-        """Grants less room than a dial by chance, drawn once for a window however many dials ask in it.
+    def admits_by_chance(self, server: Server, budget: float, load: float, window: int, ties: Ties) -> bool:
+        """Whether a budget smaller than the session's load admits it, by one random draw per server and
+        window.
 
-        Guards against many balancers that send one dial each and push the server over together. For a warm
-        one it is as much higher as less than one dial is likely to ask, as one of these that tie.
+        Many balancers with such budgets would overload the server together if each of them sent one
+        session. The draw is made once for a window, so that more dials in it do not raise the probability.
+        For a warm server the probability is divided by the number of dials that are expected to ask in the
+        window, as this server among its ties, where that is below 1.
         """
         if self.now >= server.draw_valid_until:
             server.admission_draw = self.uniform(0, 1)
             server.draw_valid_until = self.now + window
         if self.is_cold(server):
-            return server.admission_draw < chance_for(room / max(ahead, self.mean), self.site.replicas)
-        due = len(self.came) * window / max(self.now - self.came[0], 1) * self.chance_of(server, ties)
-        return server.admission_draw * self.mean * min(due, 1) < room
+            return server.admission_draw < admission_probability(
+                budget / max(load, self.mean_load), self.deployment.replicas
+            )
+        expected = (
+            len(self.dial_times) * window / max(self.now - self.dial_times[0], 1)
+            * self.draw_probability(server, ties)
+        )  # fmt: skip
+        return server.admission_draw * self.mean_load * min(expected, 1) < budget
+
+    # Health: circuit breaker for each server, throttling for the fleet
 
-    # Health
+    def record_setup(
+        self, server: Server, succeeded: bool, is_unreachable: bool = False, is_late: bool = False
+    ) -> None:
+        """Evaluates the result of a set-up: ejects the server, plans its next trial or takes it back.
 
-    def set_up_went(self, server: Server, well: bool, unreachable: bool = False, late: bool = False) -> None:
-        if not unreachable:
-            self.watch_fleet(server, well and not late, well)
+        Two consecutive failures or three among the last RECENT_LIMIT eject a server. It then gets single
+        trial dials; two consecutive successes take it back, as one may be luck.
+        """
+        if not is_unreachable:
+            self.update_throttling(server, succeeded and not is_late, succeeded)
         recent = server.recent_setups
-        append_bounded(recent, well, RECENT_LIMIT)
-        if well:
+        append_bounded(recent, succeeded, RECENT_LIMIT)
+        if succeeded:
             if server.is_unhealthy and (len(recent) < 2 or recent[-2]):
                 server.is_unhealthy = False
                 server.trial_count = 0
                 recent.clear()
-                self.log(f"server {server.index} back, {self.count_sick()} still out")
+                self.log(f"server {server.index} healthy again, {self.count_unhealthy()} still ejected")
             return
         if server.is_unhealthy:
             server.trial_count += 1
-            server.trial_at = self.trial_time(server)
+            server.trial_at = self.next_trial_time(server)
             return
-        if self.storm:
+        if self.is_throttling:
             return
         failed = len(recent) - sum(recent)
         if failed < 3 and not (len(recent) > 1 and not recent[-2]):
             return
-        out = self.count_sick() + 1
-        home = self.site.zone
-        if 2 * out > len(self.candidates.ready) and not self.others_well(server, home):
-            # Guards against shutting out the fleet for a fault of the own link, the list or the store;
-            # with servers of the own zone well, it is the other zones that are cut off.
-            if not self.doubt:
-                self.doubt = True
-                self.log(f"most servers fail, {out} of {len(self.candidates.ready)}; none more taken out")
+        ejected = self.count_unhealthy() + 1
+        own_zone = self.deployment.zone
+        if 2 * ejected > len(self.candidates.ready) and not self.has_other_healthy(server, own_zone):
+            # When most of the fleet fails, the fault is likely in the own network link, in the list or in a
+            # shared store, and ejecting the fleet would not help. With a healthy server in the own zone, it
+            # is the other zones that are cut off.
+            if not self.is_ejection_suspended:
+                self.is_ejection_suspended = True
+                self.log(
+                    f"set-ups fail on {ejected} of {len(self.candidates.ready)} servers; no more ejected"
+                )
             return
-        self.doubt = False
+        self.is_ejection_suspended = False
         self.candidates.activate(server)
         server.is_unhealthy = True
-        server.trial_at = self.trial_time(server)
-        self.log(f"server {server.index} out: {failed} of {len(recent)} set-ups failed, {out} out")
+        server.trial_at = self.next_trial_time(server)
+        self.log(
+            f"server {server.index} ejected: {failed} of {len(recent)} set-ups failed, {ejected} ejected"
+        )
 
-    def watch_fleet(self, server: Server, well: bool, stood: bool) -> None:
-        """Guards against a storm of dials that keeps down what all set-ups need, such as a shared store.
+    def update_throttling(self, server: Server, in_time: bool, succeeded: bool) -> None:
+        """Limits concurrent dials while set-ups are late or fail on the whole fleet.
 
-        Told from sick servers and cut links by set-ups that are late or fail all over the fleet, in the
-        own zone too.
+        Retries would otherwise keep down what all set-ups need, such as a shared store. It is told apart
+        from unhealthy servers and cut-off zones by the number of failing servers and by failures in the own
+        zone. The limit grows by one with each set-up in time, falls by one with each late one and is
+        halved, with a pause, by each failure.
         """
-        self.set_ups.append((server, well))
-        bad = [one for one, ok in self.set_ups if not ok]
-        if self.storm:
-            if well:
-                self.room += 1
-                if not bad:
-                    self.storm = False
-                    self.log(f"set-ups work again, {self.room} dials at once")
-            elif stood:
-                self.room = max(1, self.room - 1)
+        self.fleet_setups.append((server, in_time))
+        failures = [one for one, ok in self.fleet_setups if not ok]
+        if self.is_throttling:
+            if in_time:
+                self.dial_limit += 1
+                if not failures:
+                    self.is_throttling = False
+                    self.log(f"set-ups succeed again; throttling ends at {self.dial_limit} concurrent dials")
+            elif succeeded:
+                self.dial_limit = max(1, self.dial_limit - 1)
             else:
-                self.room = max(1, self.room // 2)
-                self.pause_until = self.now + int(self.uniform(self.try_wait / 5, self.try_wait))
+                self.dial_limit = max(1, self.dial_limit // 2)
+                self.dials_paused_until = self.now + int(self.uniform(self.backoff / 5, self.backoff))
             return
-        if 2 * len(bad) < FLEET_RECENT:
+        if 2 * len(failures) < FLEET_SETUPS_LIMIT:
             return
-        failing = {one.index for one in bad}
-        own_zone = self.site.zone
-        seen = not self.candidates.zone_counts[own_zone] or any(one.zone == own_zone for one in bad)
-        if 3 * len(failing) >= min(len(self.candidates.ready), FLEET_RECENT) and seen:
-            self.storm = True
-            self.room = 1
+        failing = {one.index for one in failures}
+        own_zone = self.deployment.zone
+        in_own_zone = not self.candidates.zone_counts[own_zone] or any(
+            one.zone == own_zone for one in failures
+        )
+        if 3 * len(failing) >= min(len(self.candidates.ready), FLEET_SETUPS_LIMIT) and in_own_zone:
+            self.is_throttling = True
+            self.dial_limit = 1
             self.log(
-                f"{len(bad)} of the last {len(self.set_ups)} set-ups late or failed on {len(failing)} servers"
+                f"throttling dials: {len(failures)} of the last {len(self.fleet_setups)} set-ups late or "
+                f"failed on {len(failing)} servers"
             )
 
-    def trial_time(self, server: Server) -> int:
-        wait = TRIAL_WAIT * 2 ** min(server.trial_count, 2)
-        return self.now + int(self.uniform(0.75 * wait, 1.25 * wait))
+    def next_trial_time(self, server: Server) -> int:
+        """Exponential backoff by failed trials, up to four times TRIAL_DELAY, with jitter."""
+        delay = TRIAL_DELAY * 2 ** min(server.trial_count, 2)
+        return self.now + int(self.uniform(0.75 * delay, 1.25 * delay))
 
-    def count_sick(self) -> int:
+    def count_unhealthy(self) -> int:
         return sum(s.is_unhealthy for s in self.candidates.active.values())
 
-    def others_well(self, server: Server, zone: int) -> bool:
-        """Whether this zone has a server that is not out, beside this one, which is not out yet."""
-        sick = sum(s.is_unhealthy and s.zone == zone for s in self.candidates.active.values())
+    def has_other_healthy(self, server: Server, zone: int) -> bool:
+        """Whether this zone has a healthy server other than this one, which is not ejected yet."""
+        unhealthy = sum(s.is_unhealthy and s.zone == zone for s in self.candidates.active.values())
         itself = server.zone == zone and server.ready_position >= 0
-        return self.candidates.zone_counts[zone] > sick + itself
+        return self.candidates.zone_counts[zone] > unhealthy + itself
 
-    def load_now(self, server: Server) -> float:
-        """Load over what the server can do as last reported, 0 where no fresh report tells."""
+    # Overload
+
+    def estimated_utilization(self, server: Server) -> float:
+        """Returns the last reported load divided by capacity, corrected for sessions sent since.
+
+        0 where no valid report is known.
+        """
         if self.now > server.report_valid_until:
             return 0.0
-        carried = self.own_sum(server)
-        others = (self.site.replicas - 1) * self.mean
-        if carried > server.load_at_report and server.load_at_report + others > 0:
-            # Guards against a rush to a server whose late report does not yet show what was sent since. The
-            # others are taken to hold one session each there, so that sums of one or two say little.
-            return server.utilization * (carried + others) / (server.load_at_report + others)
+        load_sum = self.load_sum(server)
+        others = (self.deployment.replicas - 1) * self.mean_load
+        if load_sum > server.load_at_report and server.load_at_report + others > 0:
+            # Reports lag behind and don't show what was sent since, so that a server with a low one would
+            # be rushed. The other balancers are taken to hold one session each there, so that the growth of
+            # a load sum of one or two sessions says little.
+            return server.utilization * (load_sum + others) / (server.load_at_report + others)
         return server.utilization
 
-    def is_pressed(self, server: Server) -> bool:
-        """The load cap: the server says it is nearly full, or its messages are slow."""
-        return self.now <= server.slow_until or self.load_now(server) >= CAP
+    def is_at_cap(self, server: Server) -> bool:
+        """Whether the server is at the load cap by its utilization, or its messages are slow."""
+        return self.now <= server.slow_until or self.estimated_utilization(server) >= LOAD_CAP
 
-    def would_crowd(self, server: Server, ahead: float) -> bool:
-        """The paper's maximum load, learned: own sums at which this server's messages were slow of late.
+    def exceeds_learned_cap(self, server: Server, load: float) -> bool:
+        """Whether this load would take the load sum over the cap learned from slow messages on this server.
 
-        Guards against refilling a slow machine as soon as it has recovered, over and over.
+        A slow machine would otherwise be filled again as soon as it has recovered, over and over. What was
+        learned is forgotten after FADE_TIME.
         """
-        crowded = server.slow_loads
-        while crowded and crowded[0][0] < self.now - FADE_TIME:
-            del crowded[0]
-            server.slow_load_limit = min((load for _, load in crowded), default=0.0)
-        return bool(crowded) and server.known_load + ahead > server.slow_load_limit
-
-    def look_round(self) -> None:
-        """Counts the servers with room, and the share at their cap of those heard of, only now and then."""
-        if self.now - self.looked_at <= LOOK_EVERY:
+        learned = server.slow_loads
+        while learned and learned[0][0] < self.now - FADE_TIME:
+            del learned[0]
+            server.slow_load_limit = min((load_sum for _, load_sum in learned), default=0.0)
+        return bool(learned) and server.known_load + load > server.slow_load_limit
+
+    def count_full_servers(self) -> None:
+        """Updates `available_count` and `full_fraction`, at most once in RECOUNT_INTERVAL.
+
+        A server counts as observed if it holds own sessions or a report is valid. Hung servers are left
+        out, as they say nothing about how full the others are.
+        """
+        if self.now - self.recounted_at <= RECOUNT_INTERVAL:
             return
-        self.looked_at = self.now
-        full = heard = 0
-        self.with_room = self.candidates.count_idle()
+        self.recounted_at = self.now
+        full = observed = 0
+        self.available_count = self.candidates.count_idle()
         for server in self.candidates.active.values():
-            pressed = self.is_pressed(server)
-            if (server.open_sessions or self.now <= server.report_valid_until) and not self.is_stuck(server):
-                heard += 1
-                full += pressed
-            if not pressed and not server.is_unhealthy and server.full_until <= self.now:
-                self.with_room += 1
-        self.full_share = full / (heard + 1)
-
-    def is_crowded_out(self) -> bool:
-        """By chance, when most servers are full: by the part of the dials that this balancer does not see.
-
-        Guards against all balancers filling the few good servers of a full fleet at once.
+            at_cap = self.is_at_cap(server)
+            if (server.open_sessions or self.now <= server.report_valid_until) and not self.is_hung(server):
+                observed += 1
+                full += at_cap
+            if not at_cap and not server.is_unhealthy and server.full_until <= self.now:
+                self.available_count += 1
+        self.full_fraction = full / (observed + 1)
+
+    def sheds_session(self) -> bool:
+        """Load shedding: whether to refuse a session by chance, as most observed servers are full.
+
+        The probability rises from 0 at half of the servers full to 1 at three quarters, times the part of
+        the dials that this balancer does not see. Otherwise all balancers would fill the few good servers
+        of a full fleet at once.
         """
-        self.look_round()
-        unseen = 0 if self.site.may_probe else 1 - 1 / self.site.replicas
-        return self.uniform(0, 1) < unseen * (4 * self.full_share - 2)
+        self.count_full_servers()
+        unseen = 0 if self.deployment.may_probe else 1 - 1 / self.deployment.replicas
+        return self.uniform(0, 1) < unseen * (4 * self.full_fraction - 2)
 
-    def is_unheard(self, server: Server) -> bool:
-        """Nothing tells how this server does: no own session there, and it is no new one."""
+    def is_unobserved(self, server: Server) -> bool:
+        """Whether nothing shows the server's state: it has no own session or dial, and it is not cold."""
         return not (server.open_sessions or server.pending_dials or self.is_cold(server))
 
-    def is_stuck(self, server: Server) -> bool:
-        return self.now <= server.slow_until and server.message_delay >= STUCK
+    def is_hung(self, server: Server) -> bool:
+        return self.now <= server.slow_until and server.message_delay >= HUNG_DELAY
 
-    def is_jammed(self, server: Server) -> bool:
-        """So far past its cap that its sessions are served badly whatever else happens."""
-        slow = self.now <= server.slow_until and server.message_delay > self.shortest_aim
-        return slow or self.load_now(server) >= 1
+    def is_overloaded(self, server: Server) -> bool:
+        """Whether the server is so far past its cap that its sessions are served badly in any case."""
+        is_slow = self.now <= server.slow_until and server.message_delay > self.shortest_message_aim
+        return is_slow or self.estimated_utilization(server) >= 1
 
-    def judge_set_up(self, server: Server, took: int) -> None:
-        """Guards against full servers that nobody tells of: set-ups wait for the same cores as messages.
+    def infer_delay(self, server: Server, duration: int) -> None:
+        """Infers the delay of messages from set-up times, where message delays are not reported.
 
-        What the last few took beyond the quickest in that zone, less the usual, counts as a message's delay.
+        Set-ups wait for the same cores as messages. The mean of the server's last set-ups beyond the
+        quickest of its zone, less the median over all servers, counts as the delay of a message.
         """
-        quickest = self.quickest[server.zone] = min(took, self.quickest.get(server.zone, took))
-        append_bounded(server.setup_waits, took - quickest, SETUP_WAITS_LIMIT)
-        self.waits.append(took - quickest)
+        quickest = self.quickest_setups[server.zone] = min(
+            duration, self.quickest_setups.get(server.zone, duration)
+        )
+        append_bounded(server.setup_waits, duration - quickest, SETUP_WAITS_LIMIT)
+        self.recent_setup_waits.append(duration - quickest)
         if len(server.setup_waits) == SETUP_WAITS_LIMIT:
-            usual = sorted(self.waits)[len(self.waits) // 2]
-            self.take_delay(server, sum(server.setup_waits) // SETUP_WAITS_LIMIT - usual)
+            median = sorted(self.recent_setup_waits)[len(self.recent_setup_waits) // 2]
+            self.record_delay(server, sum(server.setup_waits) // SETUP_WAITS_LIMIT - median)
 
-    def on_delay(self, event: DelayReported) -> None:
-        self.take_delay(self.servers[event.server], event.delay)
+    def on_delay_reported(self, event: DelayReported) -> None:
+        self.record_delay(self.servers[event.server], event.delay)
 
-    def take_delay(self, server: Server, delay: int) -> None:
+    def record_delay(self, server: Server, delay: int) -> None:
+        """Evaluates the time that a message takes at the server.
+
+        Above a third of the shortest message aim the server counts as at its cap, and its load sum teaches
+        the learned cap. Above the aim, sessions are moved off.
+        """
         self.candidates.activate(server)
-        server.message_delay = delay if 3 * delay > self.shortest_aim else 0
-        server.slow_until = self.now + NOTE_LIFE if server.message_delay else -1
+        server.message_delay = delay if 3 * delay > self.shortest_message_aim else 0
+        server.slow_until = self.now + DELAY_REPORT_LIFETIME if server.message_delay else -1
         if server.message_delay:
-            self.look_round()
-            if self.with_room and not self.is_stuck(server):
-                # With all of them slow, or where it hangs, it is not this sum that makes it slow.
-                append_bounded(server.slow_loads, (self.now, HEADROOM * server.known_load), SLOW_LOADS_LIMIT)
+            self.count_full_servers()
+            if self.available_count and not self.is_hung(server):
+                # With the whole fleet slow, or a server that hangs, the cause is not this load sum.
+                append_bounded(
+                    server.slow_loads, (self.now, LEARNED_CAP_FACTOR * server.known_load), SLOW_LOADS_LIMIT
+                )
                 server.slow_load_limit = min(load for _, load in server.slow_loads)
-        if delay <= self.shortest_aim:
+        if delay <= self.shortest_message_aim:
             server.slow_streak = 0
             return
-        # A message waits for the work piled up before it: what was sent in that time has to go elsewhere for
-        # the pile to be worked off in a second. The share also grows with each further note past the aim: a
-        # heavy session that fits no small share must go too.
+        # The delay is the work queued before a message. To clear the queue in a second, the same part of a
+        # second's load has to go elsewhere. The share also grows with each further report above the aim, as
+        # a heavy session that fits no small share must go too.
         server.slow_streak += 1
-        share = max(min(SHARE_STEP * (1 + server.slow_streak), MOST_MOVED), min(delay / SECOND, 1))
-        self.relieve(server, share, SECOND // 2)
+        share = max(
+            min(MOVE_SHARE_STEP * (1 + server.slow_streak), MAX_STEPPED_SHARE), min(delay / SECOND, 1)
+        )
+        self.move_sessions(server, share, SECOND // 2)
 
-    def relieve(self, server: Server, share: float, pause: int) -> None:
-        """Last resort: moves own sessions off a server that stays past its cap while others have room."""
-        if self.storm or self.now - server.relieved_at < pause:
+    def move_sessions(self, server: Server, share: float, pause: int) -> None:
+        """Moves sessions with this share of the load sum off a server that stays past its cap.
+
+        This is the last resort: only while others have capacity, or in small steps off an overloaded server.
+        Nothing moves within `pause` of the last moves.
+        """
+        if self.is_throttling or self.now - server.last_moves_at < pause:
             return
-        self.look_round()
-        room_elsewhere = self.with_room > 0
-        if not room_elsewhere and not self.is_jammed(server):
+        self.count_full_servers()
+        others_available = self.available_count > 0
+        if not others_available and not self.is_overloaded(server):
             return
-        if not room_elsewhere:
-            # Guards against emptying the fleet for a fault that strikes all of it and passes.
-            share = min(share, 2 * SHARE_STEP)
-        surplus = room = share * self.own_sum(server)
-        # The heaviest that fit come first and light ones stay: few moves, each worth its price.
+        if not others_available:
+            # A fault that strikes the whole fleet and passes must not empty it.
+            share = min(share, 2 * MOVE_SHARE_STEP)
+        surplus = remaining = share * self.load_sum(server)
+        # The heaviest sessions that fit go first and light ones stay: few moves, each worth its cost.
         order = sorted(
-            server.open_sessions.items(), key=lambda item: self.move_order(item[1], room_elsewhere)
+            server.open_sessions.items(), key=lambda item: self.move_order(item[1], others_available)
         )
-        least = max(surplus / 20, self.mean / 2)
+        lightest = max(surplus / 20, self.mean_load / 2)
         moved = 0
-        for index, sess in order:
-            load = self.load_of(sess)
-            if room <= 0:
+        for session_id, session in order:
+            load = self.load_of(session)
+            if remaining <= 0:
                 break
-            if load < least:
+            if load < lightest:
                 continue
-            if load <= 1.5 * room:
-                room -= load
+            if load <= 1.5 * remaining:
+                remaining -= load
                 moved += 1
-                self.out.append(Move(index))
-        if not moved and order and self.uniform(0, self.load_of(order[0][1])) < room:
-            # Guards against few sessions, none of which fits the share, left on a slow server for good:
-            # one goes by chance, so that over many balancers the share is kept.
+                self.actions.append(Move(session_id))
+        if not moved and order and self.uniform(0, self.load_of(order[0][1])) < remaining:
+            # A few heavy sessions, none of which fits the share, would stay on a slow server for good. One
+            # goes by chance, so that the share is kept on average over many balancers.
             moved = 1
-            self.out.append(Move(order[0][0]))
+            self.actions.append(Move(order[0][0]))
         if moved:
-            if self.now - server.relieved_at > LOG_PAUSE:
+            if self.now - server.last_moves_at > LOG_REPEAT_INTERVAL:
                 self.log(
-                    f"server {server.index} past its cap: load {self.load_now(server):.2f}, message "
-                    f"{server.message_delay / 10:.0f} ms; "
-                    f"moving, {moved} of {len(server.open_sessions)} first"
+                    f"server {server.index} overloaded: load {self.estimated_utilization(server):.2f}, "
+                    f"message {server.message_delay / 10:.0f} ms; "
+                    f"moving {moved} of {len(server.open_sessions)} sessions at first"
                 )
-            server.relieved_at = self.now
+            server.last_moves_at = self.now
 
-    def move_order(self, sess: Session, room_elsewhere: bool) -> tuple[float, float]:
-        """Heaviest first; where no other server has room, those of the least utility before that."""
-        utility = 0.0 if room_elsewhere else self.site.listeners[sess.listener].utility
-        return utility, -self.load_of(sess)
+    def move_order(self, session: Session, others_available: bool) -> tuple[float, float]:
+        """Sort key: heaviest first; where no other server has capacity, lowest utility before that."""
+        utility = 0.0 if others_available else self.deployment.listeners[session.listener].utility
+        return utility, -self.load_of(session)
 
-    def on_probed(self, event: ProbeEnded) -> None:
+    def on_probe_ended(self, event: ProbeEnded) -> None:
         if event.answered and event.utilization is not None:
             server = self.servers[event.server]
-            self.take_report(server, event.utilization)
+            self.record_utilization(server, event.utilization)
             server.silent_until = 0
-            self.answer(server)
+            self.place_probe_waiters(server)
 
-    def take_report(self, server: Server, pressure: float) -> None:
+    def record_utilization(self, server: Server, utilization: float) -> None:
+        """Takes a reported load divided by capacity, and moves sessions off a server that is nearly full."""
         self.candidates.activate(server)
-        server.utilization = pressure
-        # An old report tells only what is far from the cap.
-        server.report_valid_until = self.now + int(min(REPORT_LIFE, abs(pressure - CAP) / DRIFT))
+        server.utilization = utilization
+        # The closer to the load cap, the sooner the real utilization may be on the other side of it.
+        server.report_valid_until = self.now + int(
+            min(UTILIZATION_REPORT_LIFETIME, abs(utilization - LOAD_CAP) / UTILIZATION_DRIFT)
+        )
         server.load_at_report = server.known_load
-        if pressure >= RELIEF_FROM:
-            self.relieve(server, (pressure - RELIEF_TO) / pressure, RELIEF_PAUSE)
+        if utilization >= MOVE_ABOVE:
+            self.move_sessions(server, (utilization - MOVE_DOWN_TO) / utilization, MOVE_PAUSE)
 
     # Timers
 
-    def on_timer(self, event: TimerFired) -> None:
+    def on_timer_fired(self, event: TimerFired) -> None:
         if event.timer is Timer.LIST_REQUEST:
-            self.out.append(RequestList())
+            self.actions.append(RequestList())
         elif event.timer is Timer.PROBE_TIMEOUT:
             server = self.servers[event.index]
-            if server.probe_waiters and self.now - server.probed_at >= self.ask_wait:
-                # Guards against waiting for a server out of reach; it is passed over while others answer.
+            if server.probe_waiters and self.now - server.probed_at >= self.probe_timeout:
+                # It may be unreachable; it is passed over for a while as long as others answer.
                 self.candidates.activate(server)
-                server.silent_until = self.now + REPORT_LIFE
-                self.answer(server)
+                server.silent_until = self.now + UTILIZATION_REPORT_LIFETIME
+                self.place_probe_waiters(server)
 
     def set_timer(self, timer: Timer, index: int, after: float) -> None:
-        self.out.append(SetTimer(timer, index, int(after) + 1))
+        """Sets a timer that fires after this duration, rounded up to a whole tick."""
+        self.actions.append(SetTimer(timer, index, int(after) + 1))
 
     def log(self, text: str) -> None:
-        self.out.append(Log(text))
+        self.actions.append(Log(text))
--- a/thymedeck/policy/server.py
+++ b/thymedeck/policy/server.py
@@ -32,7 +32,7 @@
         "admission_draw", "cell", "draw_valid_until", "fading_load", "fading_since", "full_until", "group",
         "group_position", "index", "is_unhealthy", "kind", "known_load", "load_at_report", "message_delay",
         "open_sessions", "pending_dials", "probe_waiters", "probed_at", "ready_position", "recent_setups",
-        "relieved_at", "report_valid_until", "sent_loads", "session_count", "setup_waits", "silent_until",
+        "last_moves_at", "report_valid_until", "sent_loads", "session_count", "setup_waits", "silent_until",
         "slow_load_limit", "slow_loads", "slow_streak", "slow_until", "started", "state", "trial_at",
         "trial_count", "unknown_load_count", "utilization", "weight", "zone",
     )  # fmt: skip
@@ -78,7 +78,7 @@
         self.slow_loads: list[tuple[int, float]] = []  # times and load sums at which messages were slow
         self.slow_load_limit = 0.0  # the lowest of these load sums
         self.slow_streak = 0  # consecutive reports of a message delay above the shortest aim
-        self.relieved_at = -FADE_TIME  # when sessions were last moved off it
+        self.last_moves_at = -FADE_TIME  # when sessions were last moved off it
         self.message_delay = 0  # as last reported; 0 up to a third of the shortest aim
         self.slow_until = -1  # until then it counts as loaded to its cap, as its messages were slow
         self.setup_waits: list[int] = []  # time of the last set-ups beyond the quickest of the zone
