--- a/thymedeck/policy/balancer.py
+++ b/thymedeck/policy/balancer.py
@@ -65,13 +65,16 @@
 LOG_REPEAT_INTERVAL = 10 * SECOND  # a condition absent for longer is logged again when it returns
 HISTORY_LIMIT = 100  # recent sessions whose mean load stands in for an unknown load (design page)
 TRIAL_DELAY = SECOND  # mean delay until the first trial dial to an ejected server
-DELAY_REPORT_LIFETIME = 25_000  # reports come every second; a server that misses two has likely no third
+DELAY_REPORT_LIFETIME = (
+    25_000  # slow messages are reported every second; after two misses they are likely over
+)
 UTILIZATION_REPORT_LIFETIME = 5 * SECOND  # older reports are not trusted
-UTILIZATION_DRIFT = 0.15 / SECOND  # how fast a utilization may move towards the load cap after its report
+UTILIZATION_DRIFT = 0.15 / SECOND  # fastest change of a utilization towards the load cap after its report
 MAX_FULL_ANSWERS = 8  # probed servers found at their load cap before the session is refused
 LEARNED_CAP_FACTOR = 0.9  # learned load cap, as a part of the load sum at which messages were slow
 FLEET_SETUPS_LIMIT = 16  # latest set-ups over the whole fleet, from which throttling is decided
-# Backoff before trying again what has just failed: proportional to the number of balancers, within limits.
+# Backoff of a balancer after a server or the whole fleet has refused it. It is proportional to the number of
+# balancers within limits, so that all together retry only a few times a second.
 BACKOFF_PER_BALANCER = SECOND / 6
 MIN_BACKOFF, MAX_BACKOFF = SECOND / 2, 5 * SECOND
 LOAD_CAP = 0.75  # utilization from which a server is passed over while others are below
@@ -180,7 +183,7 @@
     `share` is this balancer's budget for the window in sessions, from 0 to 1. All balancers decide
     independently, so the number N that they should admit together varies by its square root; the
     probability is below `share` so that the server's tolerance, N + 2 sqrt(N) + 2 sessions, is not
-    exceeded.
+    exceeded. The closer `share` is to 1, the less the number varies and the smaller is the reduction.
     """
     total = max(share * replicas, 1)
     least = max(
@@ -195,16 +198,15 @@
     def __init__(self, seed: int, deployment: Deployment) -> None:
         self.deployment = deployment
         self.shortest_message_aim = min(listener.message_aim for listener in deployment.listeners)
-        # Set-ups that take half the shortest handshake target mean that a resource they need is nearly
-        # exhausted.
+        # A set-up that takes half the shortest handshake target means that what it needs is nearly exhausted.
         self.late_setup_threshold = min(listener.handshake_target for listener in deployment.listeners) // 2
         # Jitter for list requests: the list service does not grow with the balancers, whose simultaneous
         # requests would queue up there.
         self.list_request_spread = (
             min(LIST_SPREAD_PER_BALANCER * deployment.replicas, MAX_LIST_SPREAD) * deployment.list_poll_within
         )
-        # Balancers back off independently, so the time grows with their number: together they must let a
-        # server or a shared resource recover.
+        # Balancers retry independently, and all of them together must let a server or a shared resource
+        # recover.
         self.backoff = min(max(BACKOFF_PER_BALANCER * deployment.replicas, MIN_BACKOFF), MAX_BACKOFF)
         generator = random.Random(seed)
         self.uniform = generator.uniform
@@ -220,7 +222,7 @@
         self.max_listed_count = 0  # highest number of servers on the list at once
         self.sessions: dict[int, Session] = {}
         self.recent_loads: deque[float] = deque(maxlen=HISTORY_LIMIT)
-        self.mean_load = 1.0  # of these
+        self.mean_load = 1.0  # of these; 1 until a load is known
         self.subject_servers: dict[str, int] = {}  # server of the open session of a subject, for moved flows
         self.list_failures = 0  # consecutive
         self.is_ejection_suspended = False  # most of the fleet fails, so no more servers are ejected
@@ -232,15 +234,13 @@
         self.is_throttling = False  # dials are limited, as set-ups fail on the whole fleet
         self.dial_limit = 1  # concurrent dials allowed while throttling
         self.dials_paused_until = 0  # while throttling
-        # Whether servers that this balancer has no observation of are assumed to be full; drawn for each
-        # pick.
+        # Whether servers of which this balancer observes nothing are assumed to be full; drawn for each pick.
         self.assumes_unobserved_full = False
         self.full_fraction = 0.0  # of the observed servers, those at their load cap
         self.available_count = 0  # servers not known to be full
         self.recounted_at = -RECOUNT_INTERVAL - 1  # when these two were last computed
         self.kind_shares: dict[int, float] = {}  # by kind of machine: weight of all its servers in a draw
-        # By kind: multiplies its load sums, so that a server of a kind that carries twice as much counts
-        # half.
+        # By kind: multiplies its load sums, which count half for a kind that carries twice the mean.
         self.load_factors: dict[int, float] = {}
         # By kind: multiplies the weights of settled servers in a draw, below 1 while newcomers lack sessions.
         self.settled_weights: dict[int, float] = {}
@@ -276,20 +276,22 @@
             )
         elif event.kind is ListKind.FAILED:
             self.list_failures += 1
-            limit = max(
+            max_delay = max(
                 deployment.list_poll_within / 20 * 2 ** min(self.list_failures, 3), self.list_request_spread
             )
             # A pushed list is considered received although no watch is open, so a drain must not be missed
             # for longer than a part of its grace time.
-            limit = min(
-                limit,
+            max_delay = min(
+                max_delay,
                 MAX_LIST_REQUEST_INTERVAL - event.call_duration,
-                limit if deployment.list_on_request else deployment.drain_grace / 4,
+                max_delay if deployment.list_on_request else deployment.drain_grace / 4,
             )
             # Balancers whose requests were scheduled at different times keep that distance; after
             # simultaneous failures the jitter starts at zero.
-            low = max(limit / 2, min(limit, self.list_request_spread)) if event.is_scheduled else 0
-            self.set_timer(Timer.LIST_REQUEST, 0, self.uniform(low, limit))
+            min_delay = (
+                max(max_delay / 2, min(max_delay, self.list_request_spread)) if event.is_scheduled else 0
+            )
+            self.set_timer(Timer.LIST_REQUEST, 0, self.uniform(min_delay, max_delay))
             if self.list_failures == 1:
                 self.log("server list unavailable; using the last one")
             return
@@ -473,7 +475,7 @@
             # One more session on a full server would spoil the service of those already open.
             fits = server is not None and not self.is_at_cap(server)
             if fits and not (self.assumes_unobserved_full and self.is_unobserved(server)):
-                if (
+                if (  # the answer, or its timeout, has to leave time for a dial
                     self.deployment.may_probe
                     and time_left > 2 * self.probe_timeout
                     and self.needs_probe(server)
@@ -660,8 +662,7 @@
     # Choice of the server
 
     def pick(self, session: Session) -> Server | None:
-        """Returns the server with the smallest load sum among those of the best rank, a random one among
-        ties.
+        """Returns the server with the smallest load sum in the best rank, a random one among ties.
 
         Ties are drawn by the list's weights, by kinds of machine and by the lack of newcomers
         (`draw_candidate`). Cold servers, and others while their growth is limited, are passed over when
@@ -703,8 +704,7 @@
         return None
 
     def update_candidates(self, session: Session) -> None:
-        """Updates the groups of idle servers, and activates those that this session has to treat
-        differently."""
+        """Updates the groups of idle servers; activates those that this session has to treat one by one."""
         candidates = self.candidates
         candidates.advance_stages(self.now)
         if self.now - self.regrouped_at >= REGROUP_INTERVAL:
@@ -766,8 +766,7 @@
         return None
 
     def admits(self, server: Server, load: float, ties: Ties, warm_loads: WarmLoads) -> bool:
-        """Whether the slow start budget of a cold server, or the growth limit of another, admits this
-        load."""
+        """Whether the slow start budget of a cold server or the growth limit of another admits this load."""
         is_cold = self.is_cold(server)
         if not (is_cold or self.is_growth_limited()):
             return True
@@ -796,8 +795,7 @@
         return self.choices(candidates, [self.draw_weight(candidate) for candidate in candidates])[0]
 
     def draw_weight(self, candidate: Server | Group) -> float:
-        """Returns its weight on the list, reduced for settled servers while newcomers of their kind lack
-        sessions."""
+        """Returns the listed weight, reduced for settled servers while newcomers of their kind lack sessions."""
         factor = self.settled_weights.get(kind_of(candidate), 1.0)
         if factor < 1.0:
             stage = (
@@ -809,8 +807,7 @@
         return candidate.weight * factor
 
     def kind_scales(self, ties: Ties) -> dict[int, float]:
-        """Returns factors by kind; `draw_weight` times the factor draws kinds by their shares in a single
-        draw."""
+        """Returns factors for `draw_weight` by kind, by which one draw over all kinds keeps to their shares."""
         weights: dict[int, float] = {}
         for candidate in (*ties.servers, *ties.groups):
             kind = kind_of(candidate)
@@ -874,7 +871,10 @@
         expected time are added, so that few observations change little.
         """
         excess = {
-            k: sorted(took - self.quickest_by_distance[near] for near, took in self.kind_setups.get(k, ()))
+            k: sorted(
+                duration - self.quickest_by_distance[in_own_zone]
+                for in_own_zone, duration in self.kind_setups.get(k, ())
+            )
             for k in carried
         }
         total = {k: len(each) * each[len(each) // 2] if each else 0 for k, each in excess.items()}
@@ -1001,8 +1001,7 @@
         return loads
 
     def warm_capacity_share(self, kind: int, warm_loads: WarmLoads) -> float:
-        """Returns this balancer's share of what a warm server of this kind is known to be able to carry, as
-        a load.
+        """Returns this balancer's share of the load that a warm server of this kind can certainly carry.
 
         That is the load that they hold from this balancer or, where it is more, this balancer's part of the
         connections that the fleet has to carry, divided by the servers. Otherwise cold servers would be
@@ -1057,8 +1056,7 @@
         return budget - sum(load for _, load in sent)
 
     def admits_by_chance(self, server: Server, budget: float, load: float, window: int, ties: Ties) -> bool:
-        """Whether a budget smaller than the session's load admits it, by one random draw per server and
-        window.
+        """Whether a budget below the session's load admits it, by one random draw per server and window.
 
         Many balancers with such budgets would overload the server together if each of them sent one
         session. The draw is made once for a window, so that more dials in it do not raise the probability.
@@ -1131,10 +1129,11 @@
     def update_throttling(self, server: Server, in_time: bool, succeeded: bool) -> None:
         """Limits concurrent dials while set-ups are late or fail on the whole fleet.
 
-        Retries would otherwise keep down what all set-ups need, such as a shared store. It is told apart
-        from unhealthy servers and cut-off zones by the number of failing servers and by failures in the own
-        zone. The limit grows by one with each set-up in time, falls by one with each late one and is
-        halved, with a pause, by each failure.
+        Retries would otherwise keep down what all set-ups need, such as a shared store. Throttling starts
+        when half of the last FLEET_SETUPS_LIMIT set-ups were late or failed, on a third of the servers (of
+        that many in a large fleet) and in the own zone too; otherwise it is unhealthy servers or zones that
+        are cut off. It ends when all of the last ones were in time. The limit grows by one with each set-up
+        in time, falls by one with each late one and is halved, with a pause, by each failure.
         """
         self.fleet_setups.append((server, in_time))
         failures = [one for one, ok in self.fleet_setups if not ok]
@@ -1182,10 +1181,7 @@
     # Overload
 
     def estimated_utilization(self, server: Server) -> float:
-        """Returns the last reported load divided by capacity, corrected for sessions sent since.
-
-        0 where no valid report is known.
-        """
+        """Returns the last reported utilization, corrected for sessions sent since; 0 if no report is valid."""
         if self.now > server.report_valid_until:
             return 0.0
         load_sum = self.load_sum(server)
@@ -1323,7 +1319,7 @@
         order = sorted(
             server.open_sessions.items(), key=lambda item: self.move_order(item[1], others_available)
         )
-        lightest = max(surplus / 20, self.mean_load / 2)
+        lightest = max(surplus / 20, self.mean_load / 2)  # lighter sessions are not worth a move
         moved = 0
         for session_id, session in order:
             load = self.load_of(session)
