--- a/thymedeck/policy/__init__.py
+++ b/thymedeck/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of thymedeck. `Balancer.handle(now, event)` returns actions; nothing here does I/O."""
+"""The placement policy: `Balancer.handle(now, event)` returns the actions to carry out. It does no I/O."""
 
 from .balancer import Balancer, admission_probability
 from .server import SECOND
--- a/thymedeck/policy/balancer.py
+++ b/thymedeck/policy/balancer.py
@@ -795,7 +795,7 @@
         return self.choices(candidates, [self.draw_weight(candidate) for candidate in candidates])[0]
 
     def draw_weight(self, candidate: Server | Group) -> float:
-        """Returns the listed weight, reduced for settled servers while newcomers of their kind lack sessions."""
+        """Returns the listed weight, less for settled servers while newcomers of the kind lack sessions."""
         factor = self.settled_weights.get(kind_of(candidate), 1.0)
         if factor < 1.0:
             stage = (
@@ -807,7 +807,7 @@
         return candidate.weight * factor
 
     def kind_scales(self, ties: Ties) -> dict[int, float]:
-        """Returns factors for `draw_weight` by kind, by which one draw over all kinds keeps to their shares."""
+        """Returns factors for `draw_weight`, by which one draw over all kinds keeps to their shares."""
         weights: dict[int, float] = {}
         for candidate in (*ties.servers, *ties.groups):
             kind = kind_of(candidate)
@@ -1181,7 +1181,7 @@
     # Overload
 
     def estimated_utilization(self, server: Server) -> float:
-        """Returns the last reported utilization, corrected for sessions sent since; 0 if no report is valid."""
+        """Returns the reported utilization, corrected for sessions sent since; 0 if no report is valid."""
         if self.now > server.report_valid_until:
             return 0.0
         load_sum = self.load_sum(server)
--- a/thymedeck/policy/candidates.py
+++ b/thymedeck/policy/candidates.py
@@ -15,8 +15,10 @@
 
 from .server import FADE_TIME, Server
 
-MAX_WEIGHTED_DRAWS = 32  # attempts at drawing by weight before the weights of all members are summed
-RECOMPUTE_RATIO = 1e-6  # a sum is recomputed when a subtraction leaves less than this part of the amount
+MAX_WEIGHTED_DRAWS = 32  # rejection sampling attempts before the weights of all members are summed
+# A sum of weights is computed anew when a subtraction leaves less than this part of the subtracted weight,
+# since what is left may be a rounding error.
+RECOMPUTE_RATIO = 1e-6
 
 
 class AgeStage(IntEnum):
@@ -62,27 +64,31 @@
             self.weight = sum(one.weight for one in self.members)
 
     def draw(self, uniform: Callable[[float, float], float]) -> Server:
-        """Returns a random member, with probabilities proportional to the weights."""
+        """Returns a random member, with probabilities proportional to the weights.
+
+        Rejection sampling against `max_weight` needs a few draws on average, whatever the size of the
+        group. If very unequal weights make it fail, all weights are summed.
+        """
         count = len(self.members)
         for _ in range(MAX_WEIGHTED_DRAWS):
-            place = uniform(0, count)
-            server = self.members[min(int(place), count - 1)]
+            position = uniform(0, count)
+            server = self.members[min(int(position), count - 1)]
             if uniform(0, self.max_weight) < server.weight:
                 return server
         self.max_weight = max(one.weight for one in self.members)
-        left = uniform(0, sum(one.weight for one in self.members))
+        remaining = uniform(0, sum(one.weight for one in self.members))
         for server in self.members:
-            left -= server.weight
-            if left <= 0:
+            remaining -= server.weight
+            if remaining <= 0:
                 return server
         return self.members[-1]
 
 
 class ColdGroup(Group):
-    """Cold servers ordered by the random number drawn for each of them for one window.
+    """Idle cold servers, ordered by the random number that is drawn for each of them for one window.
 
-    A dial is granted to servers whose number is below a probability; the order finds them without a visit to
-    each member.
+    A server may admit a session while its number is below the admission probability
+    (`admission_probability` in balancer.py); the order finds these servers without a visit to each member.
     """
 
     def __init__(self, key: GroupKey) -> None:
@@ -120,10 +126,10 @@
         kept = [one for one in self.draws if one[1] not in due]
         self.draws = sorted(kept + [(server.admission_draw, server.index) for server in due.values()])
 
-    def drawn_below(self, chance: float) -> Iterator[Server]:
+    def drawn_below(self, probability: float) -> Iterator[Server]:
         """Yields the members whose number is below this probability."""
         for drawn, index in self.draws:
-            if drawn >= chance:
+            if drawn >= probability:
                 return
             yield self.by_index[index]
 
@@ -132,7 +138,8 @@
     """All ready servers; each is either active or in a group."""
 
     def __init__(self, warm_after: int, window: int) -> None:
-        """A server is cold for the time `warm_after`; `Server.sent_loads` counts for the time `window`."""
+        """A server is cold for `warm_after` from its start; `Server.sent_loads` matters for the time
+        `window`."""
         self.warm_after = warm_after
         self.window = window
         self.ready: list[Server] = []
@@ -176,6 +183,7 @@
             del self.by_cell[server.cell]
 
     def set_weight(self, server: Server, weight: float) -> None:
+        """Changes a server's weight, and with it the sums of its group."""
         group = server.group
         if group is not None:
             group.remove(server)
@@ -192,7 +200,7 @@
             self.active[server.index] = server
 
     def regroup_idle(self, now: int, servers: Iterable[Server]) -> None:
-        """Moves those of these active servers that are idle again into groups."""
+        """Moves those of these active servers that are idle again into groups, without their old records."""
         for server in servers:
             if server.is_idle(now, self.window):
                 server.slow_loads.clear()
--- a/thymedeck/policy/server.py
+++ b/thymedeck/policy/server.py
@@ -1,6 +1,7 @@
 """The state that a balancer keeps for each server.
 
-Times are whole tenths of a millisecond. "Load sum" is the load of this balancer's own sessions on a server.
+Times are whole tenths of a millisecond. "Load sum" is the sum of the loads of this balancer's own sessions
+on a server, on the scale described in balancer.py.
 """
 
 from typing import TYPE_CHECKING
@@ -12,7 +13,9 @@
     from .candidates import Group
 
 SECOND = 10_000  # in tenths of a millisecond
-FADE_TIME = 30 * SECOND  # time over which `fading_load` falls to zero (design page)
+FADE_TIME = (
+    30 * SECOND
+)  # time over which `fading_load` falls to zero; learned load caps last as long (design page)
 RECENT_LIMIT = 8  # set-ups kept for each server, and dials kept for the balancer
 SLOW_LOADS_LIMIT = 3  # load sums kept at which a server was slow
 SETUP_WAITS_LIMIT = 3  # set-ups from which slow messages are inferred where message delays are not reported
@@ -30,9 +33,9 @@
 
     __slots__ = (
         "admission_draw", "cell", "draw_valid_until", "fading_load", "fading_since", "full_until", "group",
-        "group_position", "index", "is_unhealthy", "kind", "known_load", "load_at_report", "message_delay",
-        "open_sessions", "pending_dials", "probe_waiters", "probed_at", "ready_position", "recent_setups",
-        "last_moves_at", "report_valid_until", "sent_loads", "session_count", "setup_waits", "silent_until",
+        "group_position", "index", "is_unhealthy", "kind", "known_load", "last_moves_at", "load_at_report",
+        "message_delay", "open_sessions", "pending_dials", "probe_waiters", "probed_at", "ready_position",
+        "recent_setups", "report_valid_until", "sent_loads", "session_count", "setup_waits", "silent_until",
         "slow_load_limit", "slow_loads", "slow_streak", "slow_until", "started", "state", "trial_at",
         "trial_count", "unknown_load_count", "utilization", "weight", "zone",
     )  # fmt: skip
@@ -67,25 +70,26 @@
 
     def reset_history(self) -> None:
         """Forgets what was observed before a restart of the server; open sessions are kept."""
-        # Random number for one window; a dial is admitted if the remaining budget in mean loads is above it.
+        # Random number from 0 to 1 for one window, see `Balancer.admits_by_chance`: a session that the
+        # remaining budget does not cover is admitted if its admission probability is above this number.
         self.admission_draw = 1.0
         self.draw_valid_until = 0
         self.recent_setups: list[bool] = []  # whether each was accepted
-        self.is_unhealthy = False  # excluded after failed set-ups, but for single trial dials
-        self.trial_at = 0
-        self.trial_count = 0
-        self.full_until = 0  # it refused a session as full; used as a last choice until then
+        self.is_unhealthy = False  # ejected after failed set-ups, but for single trial dials
+        self.trial_at = 0  # earliest time of the next trial dial
+        self.trial_count = 0  # failed trials since the ejection
+        self.full_until = 0  # end of the backoff after it refused a session as full; a last choice until then
         self.slow_loads: list[tuple[int, float]] = []  # times and load sums at which messages were slow
         self.slow_load_limit = 0.0  # the lowest of these load sums
-        self.slow_streak = 0  # consecutive reports of a message delay above the shortest aim
+        self.slow_streak = 0  # consecutive reports of a message delay above the shortest message aim
         self.last_moves_at = -FADE_TIME  # when sessions were last moved off it
-        self.message_delay = 0  # as last reported; 0 up to a third of the shortest aim
+        self.message_delay = 0  # as last reported; 0 up to a third of the shortest message aim
         self.slow_until = -1  # until then it counts as loaded to its cap, as its messages were slow
         self.setup_waits: list[int] = []  # time of the last set-ups beyond the quickest of the zone
         self.utilization = 0.0  # load divided by capacity, as last reported
         self.load_at_report = 0.0  # known_load at that time
         self.report_valid_until = -1  # until then the last report tells whether it is above the load cap
-        self.silent_until = 0  # it left a probe unanswered; used as a last choice until then
+        self.silent_until = 0  # end of the backoff after an unanswered probe; a last choice until then
 
     def is_idle(self, now: int, window: int) -> bool:
         """Whether only its list entry affects decisions; `sent_loads` counts for the time `window`."""
