--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -1,4 +1,4 @@
-"""Groups of idle servers: a placement that visits groups has to see what a walk over all servers would."""
+"""The index of idle servers: a placement that visits groups finds what a scan of all servers would."""
 
 import random
 from collections import Counter
@@ -12,114 +12,122 @@
 from thymedeck.policy.candidates import AgeStage, ColdGroup, Group, GroupKey
 from thymedeck.policy.server import FADE_TIME, SECOND, Server
 
-SERVERS = 40
-EVENTS = 250
+SERVER_COUNT = 40
+EVENT_COUNT = 250
 DEADLINE = 12_000
-ENDED = [
+FAILURES = [
     interface.DialOutcome.REJECTED,
     interface.DialOutcome.ERROR,
     interface.DialOutcome.UNREACHABLE,
     interface.DialOutcome.RESET,
     interface.DialOutcome.TIMED_OUT,
 ]
-SCOPES = [
+DEDUPLICATED_LISTENERS = [
     replace(LISTENER, effect=interface.Effect.DEDUPLICATED, dedup_scope=scope, dedup_window=10**9)
     for scope in (interface.DedupScope.ALL, interface.DedupScope.ZONE, interface.DedupScope.CELL)
 ]
 
 
-class Day:
-    """Events by chance, of every kind that bears on which servers are idle."""
+class RandomEvents:
+    """Gives a balancer random events of every type that decides which servers are idle."""
 
     def __init__(self, seed: int, probes: bool) -> None:
-        self.chance = random.Random(seed)
-        listeners = (LISTENER, *SCOPES)
+        self.generator = random.Random(seed)
+        listeners = (LISTENER, *DEDUPLICATED_LISTENERS)
         site = replace(SITE, listeners=listeners, replicas=3, may_probe=probes, cross_zone_price=0.1 * probes)
         self.balancer = Balancer(seed, site)
         self.now = 100 * SECOND
-        self.next_sess = 0
-        self.dialled: dict[int, int] = {}
-        self.standing: dict[int, int] = {}
-        self.asked: list[int] = []
-        self.tell(
-            interface.ServerListUpdated(interface.ListKind.SAVED, [self.entry(at) for at in range(SERVERS)])
+        self.next_session_id = 0
+        self.pending: dict[int, int] = {}
+        self.established: dict[int, int] = {}
+        self.probed: list[int] = []
+        self.handle(
+            interface.ServerListUpdated(
+                interface.ListKind.SAVED, [self.entry(index) for index in range(SERVER_COUNT)]
+            )
         )
 
-    def entry(self, at: int) -> interface.ServerEntry:
-        chance = self.chance
-        state = chance.choice(
+    def entry(self, index: int) -> interface.ServerEntry:
+        generator = self.generator
+        state = generator.choice(
             [interface.ServerState.READY] * 4 + [interface.ServerState.DRAINING, interface.ServerState.GONE]
         )
-        started = chance.choice([0, 0, 1, self.now, self.now - SITE.warm_after - SECOND])
+        started = generator.choice([0, 0, 1, self.now, self.now - SITE.warm_after - SECOND])
         return interface.ServerEntry(
-            at, at % 2, at // 4, state, started, chance.choice([1e-6, 0.5, 1.0, 1e9]), at % 3
+            index, index % 2, index // 4, state, started, generator.choice([1e-6, 0.5, 1.0, 1e9]), index % 3
         )
 
-    def tell(self, event: interface.Event) -> None:
+    def handle(self, event: interface.Event) -> None:
         for action in self.balancer.handle(self.now, event):
             if isinstance(action, interface.Dial):
-                self.dialled[action.session_id] = action.server
+                self.pending[action.session_id] = action.server
             elif isinstance(action, interface.Probe):
-                self.asked.append(action.server)
+                self.probed.append(action.server)
 
     def step(self) -> None:
-        chance = self.chance
-        self.now += chance.choice([1, 200, SECOND, 5 * SECOND]) if chance.random() < 0.9 else FADE_TIME
-        what = chance.random()
-        if what < 0.35:
-            self.next_sess += 1
-            listener = chance.randrange(1 + len(SCOPES))
-            self.tell(interface.SessionArrived(self.next_sess, listener, DEADLINE, 1.0, None, False))
-        elif what < 0.65 and self.dialled:
+        generator = self.generator
+        self.now += generator.choice([1, 200, SECOND, 5 * SECOND]) if generator.random() < 0.9 else FADE_TIME
+        choice_of_event = generator.random()
+        if choice_of_event < 0.35:
+            self.next_session_id += 1
+            listener = generator.randrange(1 + len(DEDUPLICATED_LISTENERS))
+            self.handle(interface.SessionArrived(self.next_session_id, listener, DEADLINE, 1.0, None, False))
+        elif choice_of_event < 0.65 and self.pending:
             self.end_dial()
-        elif what < 0.75 and self.standing:
-            sess, server = self.standing.popitem()
-            outcome = chance.choice([interface.DialOutcome.COMPLETED, interface.DialOutcome.RESET])
-            self.tell(interface.DialEnded(sess, server, outcome, True, None))
-        elif what < 0.85:
-            self.tell(
-                interface.DelayReported(-1, chance.randrange(SERVERS), chance.choice([0, 300, 900, 9000]))
+        elif choice_of_event < 0.75 and self.established:
+            session_id, server = self.established.popitem()
+            outcome = generator.choice([interface.DialOutcome.COMPLETED, interface.DialOutcome.RESET])
+            self.handle(interface.DialEnded(session_id, server, outcome, True, None))
+        elif choice_of_event < 0.85:
+            self.handle(
+                interface.DelayReported(
+                    -1, generator.randrange(SERVER_COUNT), generator.choice([0, 300, 900, 9000])
+                )
             )
-        elif what < 0.9 and self.asked:
+        elif choice_of_event < 0.9 and self.probed:
             self.end_probe()
         else:
-            kind = chance.choice(
+            kind = generator.choice(
                 [interface.ListKind.CHANGES, interface.ListKind.CHANGES, interface.ListKind.WHOLE]
             )
-            some = chance.sample(range(SERVERS), 4 if kind is interface.ListKind.CHANGES else SERVERS - 4)
-            self.tell(interface.ServerListUpdated(kind, [self.entry(at) for at in some]))
+            some = generator.sample(
+                range(SERVER_COUNT), 4 if kind is interface.ListKind.CHANGES else SERVER_COUNT - 4
+            )
+            self.handle(interface.ServerListUpdated(kind, [self.entry(index) for index in some]))
 
     def end_dial(self) -> None:
-        sess, server = self.dialled.popitem()
-        if self.chance.random() < 0.5:
-            self.standing[sess] = server
-            self.tell(interface.SessionEstablished(sess, server, 20))
+        session_id, server = self.pending.popitem()
+        if self.generator.random() < 0.5:
+            self.established[session_id] = server
+            self.handle(interface.SessionEstablished(session_id, server, 20))
         else:
-            self.tell(interface.DialEnded(sess, server, self.chance.choice(ENDED), False, None))
+            self.handle(interface.DialEnded(session_id, server, self.generator.choice(FAILURES), False, None))
 
     def end_probe(self) -> None:
-        """It is answered, also long after its time."""
-        server = self.asked[0]
-        if self.chance.random() < 0.5:
-            self.tell(interface.TimerFired(interface.Timer.PROBE_TIMEOUT, server))
+        """Times the first probe out or answers it, possibly long after its timeout."""
+        server = self.probed[0]
+        if self.generator.random() < 0.5:
+            self.handle(interface.TimerFired(interface.Timer.PROBE_TIMEOUT, server))
         else:
-            pressure = self.chance.choice([None, 0.2, 0.8, 1.2])
-            self.tell(interface.ProbeEnded(self.asked.pop(0), pressure is not None, pressure))
+            utilization = self.generator.choice([None, 0.2, 0.8, 1.2])
+            self.handle(interface.ProbeEnded(self.probed.pop(0), utilization is not None, utilization))
 
 
-def check_places(balancer: Balancer) -> None:
-    """Each ready server is in one place, the right one, and nothing else is in any."""
+def check_index(balancer: Balancer) -> None:
+    """Each ready server is either active or in the group of its properties, and no other server is."""
     candidates = balancer.candidates
-    ready = {at: one for at, one in balancer.servers.items() if one.state is interface.ServerState.READY}
+    ready = {
+        index: one for index, one in balancer.servers.items() if one.state is interface.ServerState.READY
+    }
     assert {one.index for one in candidates.ready} == set(ready) == set(candidates.by_index)
     assert all(candidates.ready[one.ready_position] is one for one in ready.values())
     assert +candidates.zone_counts == Counter(one.zone for one in ready.values())
-    assert {at for cell in candidates.by_cell.values() for at in cell} == set(ready)
+    assert {index for cell in candidates.by_cell.values() for index in cell} == set(ready)
     grouped: dict[int, Server] = {}
     for group in candidates.groups.values():
         assert group.weight == pytest.approx(sum(one.weight for one in group.members), rel=1e-3)
-        for at, server in enumerate(group.members):
-            assert (server.group_position, server.group) == (at, group)
+        for index, server in enumerate(group.members):
+            assert (server.group_position, server.group) == (index, group)
             assert (server.kind, server.zone) == group.key[:2]
             assert server.is_idle(balancer.now, candidates.window) and not balancer.load_sum(server)
             assert not (server.is_unhealthy or server.open_sessions or server.pending_dials)
@@ -133,15 +141,17 @@
     )
 
 
-def by_walk(balancer: Balancer, sess: Session, ahead: float) -> set[int]:
-    """The servers that tie, told from each ready server alone."""
+def ties_by_scan(balancer: Balancer, session: Session, new_load: float) -> set[int]:
+    """Returns the servers that tie, by a scan of all ready servers without the index."""
     now, site = balancer.now, balancer.deployment
     keys: dict[int, tuple[int, float]] = {}
     for server in balancer.servers.values():
-        if server.state is not interface.ServerState.READY or not balancer.shares_deduplication(sess, server):
+        if server.state is not interface.ServerState.READY or not balancer.shares_deduplication(
+            session, server
+        ):
             continue
-        unheard = not (server.open_sessions or server.pending_dials or balancer.is_cold(server))
-        if server.index in sess.tried_servers:
+        is_unobserved = not (server.open_sessions or server.pending_dials or balancer.is_cold(server))
+        if server.index in session.tried_servers:
             rank = 4
         elif server.is_unhealthy and (now < server.trial_at or server.pending_dials):
             rank = 3
@@ -150,64 +160,70 @@
         elif (
             now <= server.slow_until
             or (now <= server.report_valid_until and balancer.estimated_utilization(server) >= LOAD_CAP)
-            or balancer.exceeds_learned_cap(server, ahead)
-            or (balancer.assumes_unobserved_full and unheard)
+            or balancer.exceeds_learned_cap(server, new_load)
+            or (balancer.assumes_unobserved_full and is_unobserved)
         ):
             rank = 1
         else:
             rank = -1 if site.may_probe and site.cross_zone_price and server.zone == site.zone else 0
         load = balancer.load_sum(server) + balancer.remaining_fading_load(server)
         keys[server.index] = (rank, load * balancer.load_factors.get(server.kind, 1.0))
-    return {at for at, key in keys.items() if key == min(keys.values())}
+    return {index for index, key in keys.items() if key == min(keys.values())}
 
 
-# Guards against servers lost between groups, or taken for idle while something is known of them.
+# A fault in the index would lose servers, or treat one as idle while there is state that affects decisions.
 @pytest.mark.parametrize("probes", [False, True])
 @pytest.mark.parametrize("seed", range(12))
-def test_groups_hold_what_a_walk_over_all_servers_sees(seed: int, probes: bool) -> None:
-    day = Day(seed, probes)
-    balancer = day.balancer
-    chance = random.Random(seed)
+def test_groups_match_a_scan_of_all_servers(seed: int, probes: bool) -> None:
+    events = RandomEvents(seed, probes)
+    balancer = events.balancer
+    generator = random.Random(seed)
     compared = 0
-    for _ in range(EVENTS):
-        day.step()
-        check_places(balancer)
-        sess = Session(chance.randrange(1 + len(SCOPES)), day.now + DEADLINE, 1.0, None)
-        sess.tried_servers = chance.sample(range(SERVERS), chance.randrange(3))
-        sess.possible_executor = chance.choice([None, balancer.servers[chance.randrange(SERVERS)]])
-        balancer.assumes_unobserved_full = not probes and chance.random() < 0.3
-        burdens = {at: balancer.remaining_fading_load(one) for at, one in balancer.servers.items()}
-        balancer.update_candidates(sess)
-        assert {at: balancer.remaining_fading_load(one) for at, one in balancer.servers.items()} == burdens
-        check_places(balancer)
-        ties = balancer.best_ties(sess, 1.0, set(), False)
+    for _ in range(EVENT_COUNT):
+        events.step()
+        check_index(balancer)
+        session = Session(
+            generator.randrange(1 + len(DEDUPLICATED_LISTENERS)), events.now + DEADLINE, 1.0, None
+        )
+        session.tried_servers = generator.sample(range(SERVER_COUNT), generator.randrange(3))
+        session.possible_executor = generator.choice(
+            [None, balancer.servers[generator.randrange(SERVER_COUNT)]]
+        )
+        balancer.assumes_unobserved_full = not probes and generator.random() < 0.3
+        fading_loads = {index: balancer.remaining_fading_load(one) for index, one in balancer.servers.items()}
+        balancer.update_candidates(session)
+        assert {
+            index: balancer.remaining_fading_load(one) for index, one in balancer.servers.items()
+        } == fading_loads
+        check_index(balancer)
+        ties = balancer.best_ties(session, 1.0, set(), False)
         found = (
             [] if ties is None else [*ties.servers, *(one for group in ties.groups for one in group.members)]
         )
         assert len({one.index for one in found}) == len(found)
-        assert {one.index for one in found} == by_walk(balancer, sess, 1.0)
+        assert {one.index for one in found} == ties_by_scan(balancer, session, 1.0)
         compared += len(found) > 1
-    assert compared > EVENTS / 4
+    assert compared > EVENT_COUNT / 4
 
 
 @pytest.mark.parametrize("weights", [[1.0] * 5, [1e-6, 1.0, 3.0], [1e12, 1e-6, 1e-6, 2e-6]], ids=str)
-def test_a_group_draws_by_weight(weights: list[float]) -> None:
+def test_group_draws_by_weight(weights: list[float]) -> None:
     group = Group(GroupKey(0, 0, AgeStage.SETTLED))
-    for at, weight in enumerate(weights):
-        group.add(Server(interface.ServerEntry(at, 0, 0, interface.ServerState.READY, 0, weight)))
+    for index, weight in enumerate(weights):
+        group.add(Server(interface.ServerEntry(index, 0, 0, interface.ServerState.READY, 0, weight)))
     uniform = random.Random(1).uniform
     rounds = 6000
     for left in (weights, weights[1:]):
         drawn = Counter(group.draw(uniform).index for _ in range(rounds))
         start = len(weights) - len(left)
-        for at, weight in enumerate(left, start):
+        for index, weight in enumerate(left, start):
             share = weight / sum(left)
-            assert abs(drawn[at] / rounds - share) < 5 * (share * (1 - share) / rounds) ** 0.5 + 1e-9
+            assert abs(drawn[index] / rounds - share) < 5 * (share * (1 - share) / rounds) ** 0.5 + 1e-9
         assert group.weight == pytest.approx(sum(left))
         group.remove(next(one for one in group.members if one.index == start))
 
 
-# Guards against cold servers with room being drawn without regard to weights and kinds of machine.
+# The draw among cold servers that admit a session keeps to weights and kinds of machine.
 def test_cold_servers_are_drawn_by_weight_and_kind() -> None:
     site = replace(SITE, replicas=1, quota_connections=1e6)
     balancer = Balancer(1, site)
@@ -215,36 +231,41 @@
     weights = {0: 1.0, 1: 3.0, 2: 1.0}
     drawn: Counter[int] = Counter()
     rounds = 3000
-    for sess in range(rounds):
+    for session_id in range(rounds):
         now += site.overload_window + 1
         cold = [
-            interface.ServerEntry(at, 0, 0, interface.ServerState.READY, now, weights[at], kind=at // 2)
-            for at in weights
+            interface.ServerEntry(
+                index, 0, 0, interface.ServerState.READY, now, weights[index], kind=index // 2
+            )
+            for index in weights
         ]
         balancer.handle(now, interface.ServerListUpdated(interface.ListKind.WHOLE, cold))
-        (dial,) = balancer.handle(now, interface.SessionArrived(sess, 0, DEADLINE, 1.0, None, False))
+        (dial,) = balancer.handle(now, interface.SessionArrived(session_id, 0, DEADLINE, 1.0, None, False))
         drawn[dial.server] += 1
         balancer.handle(
-            now, interface.DialEnded(sess, dial.server, interface.DialOutcome.COMPLETED, True, None)
+            now, interface.DialEnded(session_id, dial.server, interface.DialOutcome.COMPLETED, True, None)
         )
-    # Two of three servers are of the first kind, and a quarter of its weight is the first one's.
-    for at, share in {0: 2 / 3 / 4, 1: 2 / 3 * 3 / 4, 2: 1 / 3}.items():
-        assert abs(drawn[at] / rounds - share) < 5 * (share * (1 - share) / rounds) ** 0.5, drawn
+    # Two of three servers are of the first kind, and the first server has a quarter of its weight.
+    for index, share in {0: 2 / 3 / 4, 1: 2 / 3 * 3 / 4, 2: 1 / 3}.items():
+        assert abs(drawn[index] / rounds - share) < 5 * (share * (1 - share) / rounds) ** 0.5, drawn
 
 
-# Guards against a zone that is cut off being kept in use, as if the fault were the balancer's own.
-def test_another_zone_is_taken_out_while_the_own_one_is_well() -> None:
+# When most servers fail, ejection stops, as the fault may be the balancer's own. That must not keep servers
+# of an unreachable zone in use while the own zone is healthy.
+def test_other_zone_is_ejected_while_own_zone_is_healthy() -> None:
     balancer = Balancer(1, SITE)
-    listed = [interface.ServerEntry(at, int(at > 0), 0, interface.ServerState.READY, 0) for at in range(4)]
+    listed = [
+        interface.ServerEntry(index, int(index > 0), 0, interface.ServerState.READY, 0) for index in range(4)
+    ]
     balancer.handle(SECOND, interface.ServerListUpdated(interface.ListKind.SAVED, listed))
-    for at in (1, 2, 3):
+    for index in (1, 2, 3):
         for _ in range(2):
-            balancer.record_setup(balancer.servers[at], False)
+            balancer.record_setup(balancer.servers[index], False)
     assert [one.index for one in balancer.servers.values() if one.is_unhealthy] == [1, 2, 3]
     assert not balancer.is_ejection_suspended
 
 
-def test_a_server_that_holds_nothing_has_the_sum_zero_whatever_the_rounding() -> None:
+def test_load_sum_without_sessions_is_exactly_zero() -> None:
     balancer = Balancer(1, SITE)
     balancer.handle(
         SECOND,
@@ -252,10 +273,12 @@
             interface.ListKind.SAVED, [interface.ServerEntry(0, 0, 0, interface.ServerState.READY, 0)]
         ),
     )
-    loads = [0.1, 0.2, 0.3, 0.6]  # added and taken off in this order they leave 1e-16
-    for sess, load in enumerate(loads):
-        balancer.handle(SECOND, interface.SessionRestored(sess, 0, None, None, 0))
-        balancer.handle(SECOND, interface.LoadReported(sess, load))
-    for sess in range(len(loads)):
-        balancer.handle(SECOND, interface.DialEnded(sess, 0, interface.DialOutcome.COMPLETED, True, None))
+    loads = [0.1, 0.2, 0.3, 0.6]  # added and subtracted in this order they leave 1e-16
+    for session_id, load in enumerate(loads):
+        balancer.handle(SECOND, interface.SessionRestored(session_id, 0, None, None, 0))
+        balancer.handle(SECOND, interface.LoadReported(session_id, load))
+    for session_id in range(len(loads)):
+        balancer.handle(
+            SECOND, interface.DialEnded(session_id, 0, interface.DialOutcome.COMPLETED, True, None)
+        )
     assert balancer.servers[0].known_load == 0.0
--- a/thymedeck/policy/balancer.py
+++ b/thymedeck/policy/balancer.py
@@ -54,10 +54,10 @@
 from .candidates import AgeStage, Candidates, ColdGroup, Group
 from .server import (
     FADE_TIME,
+    LEARNED_CAPS_LIMIT,
     RECENT_LIMIT,
     SECOND,
     SETUP_WAITS_LIMIT,
-    SLOW_LOADS_LIMIT,
     Server,
     append_bounded,
 )
@@ -917,7 +917,7 @@
             elif (  # the first two are `is_at_cap`, inlined as this runs for each server
                 now <= server.slow_until
                 or (now <= server.report_valid_until and self.estimated_utilization(server) >= LOAD_CAP)
-                or (server.slow_loads and self.exceeds_learned_cap(server, load))
+                or (server.learned_caps and self.exceeds_learned_cap(server, load))
                 or (assumes_unobserved_full and not server.open_sessions and self.is_unobserved(server))
             ):
                 rank = 1
@@ -1203,11 +1203,11 @@
         A slow machine would otherwise be filled again as soon as it has recovered, over and over. What was
         learned is forgotten after FADE_TIME.
         """
-        learned = server.slow_loads
+        learned = server.learned_caps
         while learned and learned[0][0] < self.now - FADE_TIME:
             del learned[0]
-            server.slow_load_limit = min((load_sum for _, load_sum in learned), default=0.0)
-        return bool(learned) and server.known_load + load > server.slow_load_limit
+            server.lowest_learned_cap = min((load_sum for _, load_sum in learned), default=0.0)
+        return bool(learned) and server.known_load + load > server.lowest_learned_cap
 
     def count_full_servers(self) -> None:
         """Updates `available_count` and `full_fraction`, at most once in RECOUNT_INTERVAL.
@@ -1284,9 +1284,11 @@
             if self.available_count and not self.is_hung(server):
                 # With the whole fleet slow, or a server that hangs, the cause is not this load sum.
                 append_bounded(
-                    server.slow_loads, (self.now, LEARNED_CAP_FACTOR * server.known_load), SLOW_LOADS_LIMIT
+                    server.learned_caps,
+                    (self.now, LEARNED_CAP_FACTOR * server.known_load),
+                    LEARNED_CAPS_LIMIT,
                 )
-                server.slow_load_limit = min(load for _, load in server.slow_loads)
+                server.lowest_learned_cap = min(load for _, load in server.learned_caps)
         if delay <= self.shortest_message_aim:
             server.slow_streak = 0
             return
--- a/thymedeck/policy/candidates.py
+++ b/thymedeck/policy/candidates.py
@@ -203,8 +203,8 @@
         """Moves those of these active servers that are idle again into groups, without their old records."""
         for server in servers:
             if server.is_idle(now, self.window):
-                server.slow_loads.clear()
-                server.slow_load_limit = 0.0
+                server.learned_caps.clear()
+                server.lowest_learned_cap = 0.0
                 server.sent_loads.clear()
                 server.fading_load = 0.0
                 del self.active[server.index]
--- a/thymedeck/policy/server.py
+++ b/thymedeck/policy/server.py
@@ -13,11 +13,10 @@
     from .candidates import Group
 
 SECOND = 10_000  # in tenths of a millisecond
-FADE_TIME = (
-    30 * SECOND
-)  # time over which `fading_load` falls to zero; learned load caps last as long (design page)
+# Time over which `fading_load` falls to zero, and for which learned load caps are kept (design page).
+FADE_TIME = 30 * SECOND
 RECENT_LIMIT = 8  # set-ups kept for each server, and dials kept for the balancer
-SLOW_LOADS_LIMIT = 3  # load sums kept at which a server was slow
+LEARNED_CAPS_LIMIT = 3  # learned load caps kept for each server
 SETUP_WAITS_LIMIT = 3  # set-ups from which slow messages are inferred where message delays are not reported
 
 
@@ -33,11 +32,11 @@
 
     __slots__ = (
         "admission_draw", "cell", "draw_valid_until", "fading_load", "fading_since", "full_until", "group",
-        "group_position", "index", "is_unhealthy", "kind", "known_load", "last_moves_at", "load_at_report",
-        "message_delay", "open_sessions", "pending_dials", "probe_waiters", "probed_at", "ready_position",
-        "recent_setups", "report_valid_until", "sent_loads", "session_count", "setup_waits", "silent_until",
-        "slow_load_limit", "slow_loads", "slow_streak", "slow_until", "started", "state", "trial_at",
-        "trial_count", "unknown_load_count", "utilization", "weight", "zone",
+        "group_position", "index", "is_unhealthy", "kind", "known_load", "last_moves_at", "learned_caps",
+        "load_at_report", "lowest_learned_cap", "message_delay", "open_sessions", "pending_dials",
+        "probe_waiters", "probed_at", "ready_position", "recent_setups", "report_valid_until", "sent_loads",
+        "session_count", "setup_waits", "silent_until", "slow_streak", "slow_until", "started", "state",
+        "trial_at", "trial_count", "unknown_load_count", "utilization", "weight", "zone",
     )  # fmt: skip
 
     def __init__(self, entry: ServerEntry) -> None:
@@ -79,8 +78,8 @@
         self.trial_at = 0  # earliest time of the next trial dial
         self.trial_count = 0  # failed trials since the ejection
         self.full_until = 0  # end of the backoff after it refused a session as full; a last choice until then
-        self.slow_loads: list[tuple[int, float]] = []  # times and load sums at which messages were slow
-        self.slow_load_limit = 0.0  # the lowest of these load sums
+        self.learned_caps: list[tuple[int, float]] = []  # time and load cap learned, by slow messages
+        self.lowest_learned_cap = 0.0  # of these; 0: none is known
         self.slow_streak = 0  # consecutive reports of a message delay above the shortest message aim
         self.last_moves_at = -FADE_TIME  # when sessions were last moved off it
         self.message_delay = 0  # as last reported; 0 up to a third of the shortest message aim
@@ -102,6 +101,6 @@
             return False
         if self.fading_load and now < self.fading_since + FADE_TIME:
             return False
-        if self.slow_loads and self.slow_loads[-1][0] >= now - FADE_TIME:
+        if self.learned_caps and self.learned_caps[-1][0] >= now - FADE_TIME:
             return False
         return not (self.sent_loads and self.sent_loads[-1][0] > now - window)
