--- a/thymedeck/interface.py
+++ b/thymedeck/interface.py
@@ -97,9 +97,11 @@
     max_retry_after: int  # longest delay that a refusal may ask of the client; 0: refusals carry no delay
     list_on_request: bool  # the server list is sent on request; otherwise it is pushed
     list_poll_within: int  # time within which the list has to be requested again
-    start_capacity: float  # of a server that has just started, as a fraction of its warm capacity
+    start_capacity: float  # capacity of a server that has just started, as a fraction of its warm capacity
     warm_after: int  # time from a server's start until it is warm
-    overload_factor: float  # with overload_window, limits what a cold server may be sent in that time
+    # In any `overload_window`, a cold server may be sent `overload_factor` * `overload_window` /
+    # `warm_after` times the load that it can carry at that time.
+    overload_factor: float
     overload_window: int
     reports_load: bool  # the loads of open sessions are reported
     reports_delay: bool  # the time that messages take is reported
@@ -129,8 +131,11 @@
 
     kind: ListKind
     entries: list[ServerEntry]
-    call_duration: int = 0  # FAILED: how long the call was pending; 0 for a watch, current until it broke
-    is_scheduled: bool = False  # FAILED: the call was made on `RequestList`, not at once with other balancers
+    # FAILED: how long the request was pending; 0 for a watch, as the list was current until it broke.
+    call_duration: int = 0
+    # FAILED: the request was made on `RequestList`, at a time of this balancer's own; otherwise other
+    # balancers may have failed at the same moment.
+    is_scheduled: bool = False
     listed_count: int = 0  # size of the whole list while some of its entries are still to be delivered
 
 
