--- a/tests/list_calls.py
+++ b/tests/list_calls.py
@@ -13,8 +13,8 @@
 
 from msgspec import Struct
 
-from thymedeck.lab.play import settings
-from thymedeck.lab.stage import SECOND, Virtual
+from thymedeck.lab.play import deployment_settings
+from thymedeck.lab.stage import SECOND, VirtualTestbed
 from thymedeck.lab.standins import Listed
 
 LONGEST = 70 * SECOND
@@ -27,68 +27,70 @@
     peak: int  # most of them in a second
 
 
-def fleet(balancers: int, capacity: float, refusal_cost: float, ask_within: float, seed: int) -> Virtual:
-    told = settings(balancers, ["m1"], ["a"])
+def fleet(
+    balancers: int, capacity: float, refusal_cost: float, ask_within: float, seed: int
+) -> VirtualTestbed:
+    told = deployment_settings(balancers, ["m1"], ["a"])
     told["contract"]["ask_within_us"] = int(ask_within * 1e6)
-    stage = Virtual(seed, told)
+    stage = VirtualTestbed(seed, told)
     stage.add_server("s0")
-    stage.list.set(Listed("s0"))
-    stage.known = [Listed("s0")]
+    stage.list_service.set(Listed("s0"))
+    stage.known_servers = [Listed("s0")]
     for at in range(balancers):
         stage.start(f"b{at}")
-    stage.list.capacity, stage.list.refusal_cost = capacity, refusal_cost
+    stage.list_service.capacity, stage.list_service.refusal_cost = capacity, refusal_cost
     return stage
 
 
-def watching(stage: Virtual) -> Virtual:
+def watching(stage: VirtualTestbed) -> VirtualTestbed:
     """All balancers have the list and watch."""
-    capacity, stage.list.capacity = stage.list.capacity, 0.0
-    assert stage.run_until(lambda: len(stage.list.watches) == len(stage.services), LONGEST)
-    stage.list.capacity = capacity
+    capacity, stage.list_service.capacity = stage.list_service.capacity, 0.0
+    assert stage.run_until(lambda: len(stage.list_service.watches) == len(stage.services), LONGEST)
+    stage.list_service.capacity = capacity
     return stage
 
 
-def restarted(stage: Virtual) -> None:
+def restarted(stage: VirtualTestbed) -> None:
     """All start with a list of old."""
 
 
-def reset(stage: Virtual) -> None:
+def reset(stage: VirtualTestbed) -> None:
     """All watches are reset at once, the service goes on."""
-    watching(stage).list.fall()
-    stage.list.down = False
+    watching(stage).list_service.fall()
+    stage.list_service.down = False
 
 
-def down(stage: Virtual) -> None:
+def down(stage: VirtualTestbed) -> None:
     """The service resets whatever comes for eight seconds."""
-    watching(stage).list.fall()
+    watching(stage).list_service.fall()
     stage.run(8 * SECOND)
-    stage.list.down = False
+    stage.list_service.down = False
 
 
-def silent(stage: Virtual) -> None:
+def silent(stage: VirtualTestbed) -> None:
     """All open watches fall silent, and stay open."""
-    for _, _, due in watching(stage).list.watches:
+    for _, _, due in watching(stage).list_service.watches:
         due.cancel()
-    stage.list.watches.clear()
+    stage.list_service.watches.clear()
 
 
-def moved(stage: Virtual) -> None:
+def moved(stage: VirtualTestbed) -> None:
     """The service is down for eight seconds, then all are told at once that it has moved."""
     down(stage)
     for name in stage.services:
         address = ("10.2.0.1", 20_000 + int(name[1:]))
-        stage.list.open_for(name, address)
+        stage.list_service.open_for(name, address)
         stage.services[name].follower.turn_to(address)
 
 
-TROUBLES: tuple[Callable[[Virtual], None], ...] = (restarted, reset, down, silent, moved)
+TROUBLES: tuple[Callable[[VirtualTestbed], None], ...] = (restarted, reset, down, silent, moved)
 
 
-def play(stage: Virtual, trouble: Callable[[Virtual], None]) -> Seen:
+def play(stage: VirtualTestbed, trouble: Callable[[VirtualTestbed], None]) -> Seen:
     trouble(stage)
     t0 = stage.now()
-    stage.list.change("s0", weight=2.0)
-    wanted = stage.list.version
+    stage.list_service.change("s0", weight=2.0)
+    wanted = stage.list_service.version
     had: dict[str, int] = {}
 
     def all_have() -> bool:
--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -14,7 +14,7 @@
 import pytest
 
 from thymedeck.lab.standins import Door
-from thymedeck.lab.world import Machine, World
+from thymedeck.lab.world import Machine, VirtualNetwork
 from thymedeck.net.connection import Connection
 from thymedeck.net.loop import Loop
 from thymedeck.net.service import Service
@@ -87,7 +87,7 @@
         self, script: list[tuple[str, float]], discovery: str, ask_within_us: int, drain_grace_us: int,
         replicas: int, seed: int, took: int,
     ) -> None:  # fmt: skip
-        self.world = World(DELAY_NS)
+        self.world = VirtualNetwork(DELAY_NS)
         self.script = script
         self.asked = self.since = self.silence = self.had = 0
         self.trouble: tuple[str, float] | None = None
@@ -142,7 +142,7 @@
         if self.trouble:
             self.since = self.world.now()
             self.silence = 0 if is_new else int(more["wait"]) * 10 + SILENCE
-        self.world.cut.discard(LIST[0])
+        self.world.isolated_hosts.discard(LIST[0])
         self.world.delay_ns = UP_LATE_NS if kind == "up late" and is_new else DELAY_NS
         if kind == "refused":
             for address in list(self.doors):
@@ -150,7 +150,7 @@
         else:
             self.open_doors()
         if kind == "never up":
-            self.world.cut.add(LIST[0])
+            self.world.isolated_hosts.add(LIST[0])
 
     def listed(self, listing: object) -> None:
         if self.asked > len(self.script) and not self.had:
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -1,4 +1,4 @@
-"""The service's own code in a world of virtual time: served, cut off, and the same log for the same seed."""
+"""The unmodified service on the simulated network: sessions, isolation, reproducible logs, socket errors."""
 
 import errno
 import json
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.helpers import SETTINGS
-from thymedeck.lab.world import BUFFER, Machine, MemorySocket, World
+from thymedeck.lab.world import BUFFER_BYTES, Machine, MemorySocket, VirtualNetwork
 from thymedeck.net.connection import Connection
 from thymedeck.net.loop import READ, Loop
 from thymedeck.net.service import Service
@@ -58,13 +58,13 @@
     """One balancer, one server and no list but the one that the balancer knows."""
 
     def __init__(self, seed: int = 1) -> None:
-        self.world = World(delay_ns=1_000_000)
+        self.network = VirtualNetwork(delay_ns=1_000_000)
         told = {
             "name": "b", "listen": "10.0.0.1:8000", "discovery": "10.2.0.1:8500", "settings": SETTINGS,
             "known": {"version": 1, "servers": [{"id": "s", "addr": "10.1.0.1:8000"}]},
             "limits": {"sockets": 256},
         }  # fmt: skip
-        self.machine = Machine(self.world, BALANCER[0])
+        self.machine = Machine(self.network, BALANCER[0])
         start = Start(
             "", msgspec.json.decode(msgspec.json.encode(told), type=Told), BALANCER, ("10.2.0.1", 8500), seed
         )
@@ -75,11 +75,11 @@
         self.add(self.service.loop)
 
     def loop(self, host: str) -> Loop:
-        return self.add(Loop(self.fault, 4096, Machine(self.world, host)))
+        return self.add(Loop(self.fault, 4096, Machine(self.network, host)))
 
     def add(self, loop: Loop) -> Loop:
         loop.running = True
-        self.world.loops.append(loop)
+        self.network.loops.append(loop)
         return loop
 
     def call(self, ident: bytes) -> Calling:
@@ -90,16 +90,16 @@
         raise why
 
     def events(self, name: str) -> list[dict]:
-        return [one for one in map(json.loads, self.machine.lines) if one["event"] == name]
+        return [one for one in map(json.loads, self.machine.log_lines) if one["event"] == name]
 
 
 def test_a_session_stands_and_its_lines_pass_in_virtual_time() -> None:
     play = Play()
     client = play.call(b"a1")
-    play.world.run(SECOND)
+    play.network.run(SECOND)
     assert client.heard == b"UP receipt\r\n"
     client.say(b"hello\r\n")
-    play.world.run(SECOND)
+    play.network.run(SECOND)
     assert client.heard == b"UP receipt\r\nhello\r\n"
     (up,) = play.events("up")
     assert up["took"] == 40  # there and back twice, a millisecond each way
@@ -108,15 +108,15 @@
 def test_a_server_that_is_cut_off_is_left_after_three_silent_seconds() -> None:
     play = Play()
     client = play.call(b"a1")
-    play.world.run(SECOND)
-    play.world.cut.add(SERVER[0])
+    play.network.run(SECOND)
+    play.network.isolated_hosts.add(SERVER[0])
     client.say(b"hello\r\n")
-    play.world.run(2 * SECOND)
+    play.network.run(2 * SECOND)
     assert client.heard == b"UP receipt\r\n"
-    play.world.run(2 * SECOND)
+    play.network.run(2 * SECOND)
     assert client.heard.endswith(b"MOVE\r\n")
     late = play.call(b"a2")  # its dials never come up: it is told so, and not left waiting
-    play.world.run(3 * SECOND)
+    play.network.run(3 * SECOND)
     assert late.heard == b"BUSY\r\n"
 
 
@@ -126,33 +126,33 @@
         play = Play(seed)
         for at in range(20):
             play.call(b"c%d" % at)
-            play.world.run(SECOND // 7)
-        logs.append(b"".join(play.machine.lines))
+            play.network.run(SECOND // 7)
+        logs.append(b"".join(play.machine.log_lines))
     assert logs[0] == logs[1] != logs[2]
 
 
 def test_a_full_buffer_holds_its_sender_back_and_a_reset_is_an_error() -> None:
-    world = World(delay_ns=1_000)
-    near, far = Machine(world, "10.0.0.1"), Machine(world, "10.0.0.2")
+    network = VirtualNetwork(delay_ns=1_000)
+    near, far = Machine(network, "10.0.0.1"), Machine(network, "10.0.0.2")
     door = far.listen(("10.0.0.2", 1), 4)
     sock = near.stream()
     sock.connect_ex(("10.0.0.2", 1))
-    world.run(10_000)
+    network.run(10_000)
     other = door.accept()[0]
-    assert sock.sendmsg([memoryview(bytes(BUFFER + 1))]) == BUFFER
-    assert not sock.can()
-    world.run(10_000)
+    assert sock.sendmsg([memoryview(bytes(BUFFER_BYTES + 1))]) == BUFFER_BYTES
+    assert not sock.ready_mask()
+    network.run(10_000)
     assert len(other.recv(100)) == 100
     assert sock.sendmsg([memoryview(bytes(200))]) == 100
     other.close()  # with bytes unread
-    world.run(10_000)
+    network.run(10_000)
     with pytest.raises(ConnectionResetError):
         sock.recv(1)
 
 
 def test_nobody_listens() -> None:
-    world = World(delay_ns=1_000)
-    sock = Machine(world, "10.0.0.1").stream()
+    network = VirtualNetwork(delay_ns=1_000)
+    sock = Machine(network, "10.0.0.1").stream()
     sock.connect_ex(("10.0.0.2", 1))
-    world.run(10_000)
+    network.run(10_000)
     assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == errno.ECONNREFUSED
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -9,8 +9,8 @@
 
 from thymedeck import interface as own
 from thymedeck.lab import checks
-from thymedeck.lab.play import EFFECTS, settings
-from thymedeck.lab.stage import SECOND, Processes, Stage, Virtual
+from thymedeck.lab.play import EFFECTS, deployment_settings
+from thymedeck.lab.stage import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
 from thymedeck.lab.standins import Listed
 from thymedeck.net.clients import Client
 from thymedeck.net.service import TOLD_AT_ONCE, Service
@@ -23,39 +23,39 @@
 DRAIN_GRACE = 2 * SECOND
 
 
-def now_ms(stage: Stage) -> float:
+def now_ms(stage: BaseTestbed) -> float:
     return stage.loop.system.time_ns() / 1_000_000
 
 
-def list_part(stage: Stage, every: int, **more: object) -> None:
+def list_part(stage: BaseTestbed, every: int, **more: object) -> None:
     """The list tells this of every so-manieth server, in one answer."""
-    part = list(stage.list.servers.values())[::every]
-    stage.list.set(*(msgspec.structs.replace(one, **more) for one in part))
+    part = list(stage.list_service.servers.values())[::every]
+    stage.list_service.set(*(msgspec.structs.replace(one, **more) for one in part))
 
 
-def restart_half(stage: Processes) -> None:
+def restart_half(stage: ProcessTestbed) -> None:
     list_part(stage, 2, started_ms=now_ms(stage))
 
 
-def restart_all(stage: Processes) -> None:
+def restart_all(stage: ProcessTestbed) -> None:
     list_part(stage, 1, started_ms=now_ms(stage))
 
 
-def drain_half(stage: Processes) -> None:
+def drain_half(stage: ProcessTestbed) -> None:
     list_part(stage, 2, state="DRAINING")
 
 
-def hang_half(stage: Processes) -> None:
+def hang_half(stage: ProcessTestbed) -> None:
     for server in list(stage.servers.values())[::2]:
         server.silent = True
 
 
-def stop_a_third(stage: Processes) -> None:
+def stop_a_third(stage: ProcessTestbed) -> None:
     for server in list(stage.servers.values())[::3]:
         server.stop()
 
 
-def drain_and_return(stage: Processes) -> None:
+def drain_and_return(stage: ProcessTestbed) -> None:
     """Half of them by turns, with a new configuration at each."""
     for turn in range(6):
         state = "SERVING" if turn % 2 else "DRAINING"
@@ -68,32 +68,32 @@
     "trouble", [restart_half, restart_all, drain_half, hang_half, stop_a_third, drain_and_return]
 )
 def test_requests_are_answered_while_thousands_of_servers_are_in_trouble(
-    trouble: Callable[[Processes], None],
+    trouble: Callable[[ProcessTestbed], None],
 ) -> None:
-    with Processes(1, settings(FLEET, ["m1", "m2"], ["a", "b"])) as stage:
+    with ProcessTestbed(1, deployment_settings(FLEET, ["m1", "m2"], ["a", "b"])) as stage:
         for at in range(SERVERS):
             stage.add_server(f"s{at}", work=0)
-        stage.known = [
+        stage.known_servers = [
             Listed(f"s{at}", zone="ab"[at % 2], kind=f"m{1 + at // 2 % 2}", cell=at // 4)
             for at in range(SERVERS)
         ]
-        stage.list.set(*stage.known)
+        stage.list_service.set(*stage.known_servers)
         stage.start("b0")
-        stage.started("b0")
-        crowd = stage.add_crowd(1, RATE, 3 * SECOND, ("chat", "once"), DEADLINE)
-        assert stage.run_until(lambda: bool(stage.record.of("list answer")), 6 * SECOND)
+        stage.wait_until_started("b0")
+        crowd = stage.add_clients(1, RATE, 3 * SECOND, ("chat", "once"), DEADLINE)
+        assert stage.run_until(lambda: bool(stage.record.of_kind("list answer")), 6 * SECOND)
         trouble(stage)
         stage.run(4 * SECOND)
         crowd.stopped = True
         stage.run(4 * SECOND)
         entries, end, log = stage.record.entries, stage.now(), stage.log("b0")
-    assert len(stage.record.of("client line")) > RATE * 3
+    assert len(stage.record.of_kind("client line")) > RATE * 3
     assert not checks.one_answer(entries, end)
     assert not checks.no_effect_twice(entries, EFFECTS)
     assert not checks.drains_kept(entries, DRAIN_GRACE)
     assert not [one for one in log if one["event"] in ("fault", "text", "unanswered")]
-    told = [one["version"] for one in stage.record.of("list answer")]
-    assert stage.list.version in told  # it heard of all changes
+    told = [one["version"] for one in stage.record.of_kind("list answer")]
+    assert stage.list_service.version in told  # it heard of all changes
 
 
 USUAL = 200  # servers
@@ -122,9 +122,9 @@
 
 def holding(servers: int) -> Service:
     """A balancer with that many servers, a third of them just started, and HELD sessions on the others."""
-    stage = Virtual(1, settings(FLEET, ["m1", "m2"], ["a", "b"]))
-    now_ms = stage.ground.time_ns() / 1_000_000
-    stage.known = [
+    stage = VirtualTestbed(1, deployment_settings(FLEET, ["m1", "m2"], ["a", "b"]))
+    now_ms = stage.stand_in_machine.time_ns() / 1_000_000
+    stage.known_servers = [
         Listed(f"s{at}", zone="ab"[at % 2], kind=f"m{1 + at // 2 % 2}", started_ms=0 if at % 3 else now_ms)
         for at in range(servers)
     ]
--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -8,9 +8,9 @@
 import pytest
 
 from tests.helpers import SETTINGS
-from thymedeck.lab.play import Run
-from thymedeck.lab.scenario import read as read_scenario
-from thymedeck.lab.stage import SECOND, Virtual
+from thymedeck.lab.play import ScenarioRun
+from thymedeck.lab.scenario import read_scenario
+from thymedeck.lab.stage import SECOND, VirtualTestbed
 from thymedeck.peers.stated import figure, read
 
 ROOT = Path(__file__).parents[1]
@@ -112,14 +112,14 @@
 def test_decisions_are_the_same_with_peers_on_and_off() -> None:
     """What every module was told and answered, with its time, in a play with drains and a death."""
     scenario = read_scenario(str(ROOT / "tests" / "scenarios" / "lab" / "calm.toml"))
-    scenario.agree_within = 0
+    scenario.agreement_timeout = 0
     plays = []
     for peers in (False, True):
-        scenario.sheet.fleet.peers = peers
-        run = Run(scenario, 7, False)
-        start, told = run.stage.start, []
+        scenario.spec.fleet.peers = peers
+        run = ScenarioRun(scenario, 7, False)
+        start, told = run.testbed.start, []
 
-        def watched(name: str, start=start, stage=run.stage, told=told) -> None:  # noqa: ANN001
+        def watched(name: str, start=start, stage=run.testbed, told=told) -> None:  # noqa: ANN001
             start(name)
             balancer = stage.services[name].balancer
             handle = balancer.handle
@@ -131,29 +131,29 @@
 
             balancer.handle = noted
 
-        run.stage.start = watched
-        run.play()
-        plays.append((told, run.stage.record.as_bytes()))
-        assert bool(run.stage.carriers) is peers
+        run.testbed.start = watched
+        run.run()
+        plays.append((told, run.testbed.record.as_bytes()))
+        assert bool(run.testbed.carriers) is peers
     assert len(plays[0][0]) > 2000
     assert plays[0] == plays[1]
 
 
 def test_a_flood_takes_a_bounded_part_of_the_time(folder: Path) -> None:
     """On a stage with one balancer: nothing is read past the second's share."""
-    from thymedeck.lab.play import settings
+    from thymedeck.lab.play import deployment_settings
 
-    stage = Virtual(1, settings(1, ["m1"], ["a"]), {})
+    stage = VirtualTestbed(1, deployment_settings(1, ["m1"], ["a"]), {})
     stage.start("b0")
     stage.run(SECOND)
     carrier = stage.carriers["b0"]
-    from_ = stage.ground.datagram(("10.3.0.1", 9))
+    from_ = stage.stand_in_machine.datagram(("10.3.0.1", 9))
     reads = []
     recv = carrier.sock.recv
     carrier.sock.recv = lambda most: (reads.append(stage.now()), recv(most))[1]
     for _ in range(100):
         for _ in range(200):
-            from_.sendto(bytes(100), carrier.sock.name)
+            from_.sendto(bytes(100), carrier.sock.address)
         stage.run(SECOND // 20)
     assert carrier.unusable["flood"] or any(e["event"] == "peers_dropped" for e in stage.log("b0"))
     assert carrier.peers.quiet_until > stage.loop.now()
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -7,9 +7,9 @@
 
 from thymedeck.lab import checks
 from thymedeck.lab.__main__ import main
-from thymedeck.lab.play import Run, settings
-from thymedeck.lab.scenario import read
-from thymedeck.lab.stage import KEY, SECOND, Guest, Processes
+from thymedeck.lab.play import ScenarioRun, deployment_settings
+from thymedeck.lab.scenario import read_scenario
+from thymedeck.lab.stage import SECOND, SHARED_KEY, FakePeer, ProcessTestbed
 from thymedeck.peers.messages import Counts, Kind, Rumour, Told
 from thymedeck.peers.stated import Unfit
 
@@ -20,32 +20,32 @@
 @pytest.mark.parametrize("processes", [False, True], ids=["virtual", "processes"])
 @pytest.mark.parametrize("name", ["cut_frozen_killed", "lossy"])
 def test_a_fleet_with_pieces_broken(name: str, processes: bool) -> None:
-    run = Run(read(str(FOLDER / f"{name}.toml")), 1, processes)
-    rows = run.play()
-    assert not [line for row in rows for line in row.wrong]
-    assert all(row.looked_at for row in rows if "cold" not in row.check)
+    run = ScenarioRun(read_scenario(str(FOLDER / f"{name}.toml")), 1, processes)
+    results = run.run()
+    assert not [line for result in results for line in result.violations]
+    assert all(result.examined for result in results if "cold" not in result.check)
     if processes:
-        assert not run.stage.path.exists()
-        assert all(process.poll() is not None for process in run.stage.running.values())
+        assert not run.testbed.directory.exists()
+        assert all(process.poll() is not None for process in run.testbed.processes.values())
 
 
 def test_the_same_seed_gives_the_same_record_to_the_byte() -> None:
-    scenario = read(str(FOLDER / "cut_frozen_killed.toml"))
-    scenario.length = 8 * SECOND
-    scenario.deeds = []
+    scenario = read_scenario(str(FOLDER / "cut_frozen_killed.toml"))
+    scenario.duration = 8 * SECOND
+    scenario.actions = []
     records = []
     for seed in (3, 3, 4):
-        run = Run(scenario, seed, False)
-        run.play()
-        records.append(run.stage.record.as_bytes())
+        run = ScenarioRun(scenario, seed, False)
+        run.run()
+        records.append(run.testbed.record.as_bytes())
     assert records[0] == records[1] != records[2]
 
 
-def called_gone(stage: Processes, names: list[str]) -> list[str]:
+def called_gone(testbed: ProcessTestbed, names: list[str]) -> list[str]:
     return [
         entry["text"]
         for name in names
-        for entry in stage.log(name)
+        for entry in testbed.log(name)
         if entry["event"] == "peers"
         and "gone" in entry["text"]
         and "g0" not in entry["text"].split("gone")[1]
@@ -53,60 +53,66 @@
 
 
 def test_hostile_with_the_key_flood_without_it_keys_changed_and_a_name_taken_twice() -> None:
-    with Processes(1, settings(8, ["m1"], ["a"]), {}) as stage:
-        names = stage.bring_up(8)
-        guest = Guest(stage, "g0")
-        guest.newer = True  # a fleet of two versions of messages
-        assert stage.run_until(lambda: all(stage.here(name) == 8 for name in names), 20 * SECOND)
-        assert stage.run_until(lambda: len(guest.peers.ledger.heard) == 8, 10 * SECOND)
-        honest = list(guest.peers.peers.values())
+    with ProcessTestbed(1, deployment_settings(8, ["m1"], ["a"]), {}) as testbed:
+        names = testbed.start_fleet(8)
+        fake_peer = FakePeer(testbed, "g0")
+        fake_peer.sends_extra_fields = True  # a fleet of two versions of messages
+        assert testbed.run_until(
+            lambda: all(testbed.live_peer_count(name) == 8 for name in names), 20 * SECOND
+        )
+        assert testbed.run_until(lambda: len(fake_peer.peers.ledger.heard) == 8, 10 * SECOND)
+        honest = list(fake_peer.peers.peers.values())
         for turn in range(60):
             for peer in honest:
                 dead = [Rumour(Told.GONE, one.name, one.incarnation) for one in honest if one is not peer]
-                guest.say(peer, Kind.ACK, rumours=dead)
+                fake_peer.send_forged(peer, Kind.ACK, rumours=dead)
                 lie = Counts(10**9, [("m1", 10**6)])
-                guest.say(peer, Kind.COUNTS, name=honest[turn % 8].name, counts=lie)
+                fake_peer.send_forged(peer, Kind.COUNTS, name=honest[turn % 8].name, counts=lie)
                 for _ in range(40):
-                    guest.send_raw(peer.address, os.urandom(200))
-            stage.run(SECOND // 20)
-        assert not called_gone(stage, names)
-        said = [entry["text"] for name in names for entry in stage.log(name) if entry["event"] == "peers"]
+                    fake_peer.send_raw(peer.address, os.urandom(200))
+            testbed.run(SECOND // 20)
+        assert not called_gone(testbed, names)
+        said = [entry["text"] for name in names for entry in testbed.log(name) if entry["event"] == "peers"]
         assert any("g0 is not heeded" in text for text in said)
-        dropped = [entry for name in names for entry in stage.log(name) if entry["event"] == "peers_dropped"]
+        dropped = [
+            entry for name in names for entry in testbed.log(name) if entry["event"] == "peers_dropped"
+        ]
         assert sum(entry.get("key", 0) for entry in dropped) > 0
 
-        for keys in ([KEY, NEW_KEY], [NEW_KEY, KEY], [NEW_KEY]):
-            stage.write_keys(*keys)
+        for keys in ([SHARED_KEY, NEW_KEY], [NEW_KEY, SHARED_KEY], [NEW_KEY]):
+            testbed.write_key_file(*keys)
             for name in names:
-                stage.reload(name)
-            read_again = len(keys) if keys != [NEW_KEY, KEY] else 2
-            assert stage.run_until(
-                lambda n=read_again: all(count_of_keys(stage, b) == n for b in names), 10 * SECOND
+                testbed.reload(name)
+            read_again = len(keys) if keys != [NEW_KEY, SHARED_KEY] else 2
+            assert testbed.run_until(
+                lambda n=read_again: all(count_of_keys(testbed, b) == n for b in names), 10 * SECOND
             )
-            stage.run(SECOND)
-        guest.close()  # it has the old key alone
-        assert stage.run_until(lambda: all(stage.here(name) == 7 for name in names), 20 * SECOND)
-        assert not called_gone(stage, names)
+            testbed.run(SECOND)
+        fake_peer.close()  # it has the old key alone
+        assert testbed.run_until(
+            lambda: all(testbed.live_peer_count(name) == 7 for name in names), 20 * SECOND
+        )
+        assert not called_gone(testbed, names)
 
-        stage.start("b8", called="b2")
-        stage.started("b8")
+        testbed.start("b8", configured_name="b2")
+        testbed.wait_until_started("b8")
         taken = "the name b2 is taken by"
-        assert stage.run_until(
+        assert testbed.run_until(
             lambda: (
-                any(taken in e.get("text", "") for e in stage.log("b8"))
+                any(taken in e.get("text", "") for e in testbed.log("b8"))
                 or any(
                     "two balancers call themselves b2" in e.get("text", "")
                     for n in names
-                    for e in stage.log(n)
+                    for e in testbed.log(n)
                 )
             ),
             20 * SECOND,
         )
-        assert not any(entry["event"] in ("fault", "text") for name in names for entry in stage.log(name))
+        assert not any(entry["event"] in ("fault", "text") for name in names for entry in testbed.log(name))
 
 
-def count_of_keys(stage: Processes, name: str) -> int:
-    lines = [entry["count"] for entry in stage.log(name) if entry["event"] == "peer_keys"]
+def count_of_keys(testbed: ProcessTestbed, name: str) -> int:
+    lines = [entry["count"] for entry in testbed.log(name) if entry["event"] == "peer_keys"]
     return lines[-1] if lines else 0
 
 
@@ -193,7 +199,7 @@
     path = tmp_path / "wrong.toml"
     path.write_text(text.replace(*change, 1))
     with pytest.raises(Unfit, match="wrong.toml"):
-        read(str(path))
+        read_scenario(str(path))
     import sys
 
     before, sys.argv = sys.argv, ["lab", "run", str(path)]
--- a/thymedeck/lab/__init__.py
+++ b/thymedeck/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory (docs/lab.md): the service's own code on a virtual clock and sockets in memory."""
+"""Test laboratory (docs/lab.md): runs the unmodified service in virtual time on in-memory sockets."""
--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m thymedeck.lab`: `run` plays scenarios and prints their checks; the others measure."""
+"""`python -m thymedeck.lab`: `run` runs a scenario and prints its checks; the other commands measure."""
 
 import argparse
 import sys
@@ -6,63 +6,75 @@
 from ..peers.stated import Unfit
 from . import cold, configured, talk
 from .measure import measure_processes
-from .play import Run
+from .play import ScenarioRun
 from .scale import command as scale
-from .scenario import read
+from .scenario import read_scenario
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="thymedeck.lab", description="Plays scenarios of whole fleets.")
+    parser = argparse.ArgumentParser(
+        prog="thymedeck.lab", description="Runs scenarios and measurements of whole fleets."
+    )
     commands = parser.add_subparsers(dest="command", required=True)
-    run = commands.add_parser("run", help="play one scenario; exit 0 if all checks hold, 1 if not")
-    run.add_argument("scenario", help="a file of TOML (docs/lab.md)")
-    run.add_argument("--processes", action="store_true", help="real daemons on loopback, not virtual time")
-    run.add_argument("--seed", type=int, help="instead of the file's")
-    run.add_argument("--record", metavar="FILE", help="keep what the stand-ins saw, a line an entry")
-    peers = commands.add_parser("peers", help="measure peers in virtual time, as docs/peers.md shows it")
+    run = commands.add_parser("run", help="run one scenario; exit 0 if all checks pass, 1 if not")
+    run.add_argument("scenario", help="a TOML file (docs/lab.md)")
+    run.add_argument(
+        "--processes", action="store_true", help="real daemons on loopback in place of virtual time"
+    )
+    run.add_argument("--seed", type=int, help="overrides the seed in the file")
+    run.add_argument("--record", metavar="FILE", help="write what the stand-ins observed, as JSON lines")
+    peers = commands.add_parser("peers", help="measure peers in virtual time (docs/peers.md)")
     peers.add_argument("--balancers", type=int, nargs="+", default=[8, 40])
     peers.add_argument("--seed", type=int, default=1)
     peers.add_argument(
-        "--quiet", type=float, default=60.0, help="seconds of nothing, 5 %% and 20 %% lost, each"
+        "--quiet", type=float, default=60.0, help="seconds without events at each of 0, 5 and 20 %% loss"
+    )
+    peers.add_argument(
+        "--processes", action="store_true", help="real daemons on loopback, with peers and without"
     )
-    peers.add_argument("--processes", action="store_true", help="real daemons on loopback, with and without")
-    peers.add_argument("--acquainted", action="store_true", help="all have met each other at the start")
+    peers.add_argument("--acquainted", action="store_true", help="all know each other at the start")
     scale.add_to(commands)
-    warm_ups = commands.add_parser("cold", help="measure what fleets send to cold servers, in virtual time")
-    cold.add_arguments(warm_ups)
-    plays = commands.add_parser(
-        "configuration", help="one version for all, in virtual time, as docs/configuration.md shows it"
+    cold_parser = commands.add_parser(
+        "cold", help="measure the load of fleets on cold servers, in virtual time"
     )
-    plays.add_argument("--balancers", type=int, default=420)
-    plays.add_argument("--size", type=int, default=20_000, help="bytes of a configuration")
-    plays.add_argument("--cut", type=float, default=60.0, help="seconds that a cut or a freeze lasts")
-    plays.add_argument("--seed", type=int, default=1)
-    plays.add_argument("--play", default="", help="only those whose title has this in it")
-    given = parser.parse_args()
-    if given.command == "scale":
-        return scale.run(given)
-    if given.command == "cold":
-        return cold.main(given)
-    if given.command == "peers" and given.processes:
-        for size in given.balancers:
-            print("\n".join(measure_processes(size, given.seed, round(given.quiet * talk.SECOND))))
+    cold.add_arguments(cold_parser)
+    configuration = commands.add_parser(
+        "configuration", help="measure the replicated configuration in virtual time (docs/configuration.md)"
+    )
+    configuration.add_argument("--balancers", type=int, default=420)
+    configuration.add_argument("--size", type=int, default=20_000, help="bytes of a configuration")
+    configuration.add_argument(
+        "--cut", type=float, default=60.0, help="seconds that a partition or freeze lasts"
+    )
+    configuration.add_argument("--seed", type=int, default=1)
+    configuration.add_argument("--play", default="", help="only runs whose title contains this")
+    arguments = parser.parse_args()
+    if arguments.command == "scale":
+        return scale.run(arguments)
+    if arguments.command == "cold":
+        return cold.main(arguments)
+    if arguments.command == "peers" and arguments.processes:
+        for size in arguments.balancers:
+            print("\n".join(measure_processes(size, arguments.seed, round(arguments.quiet * talk.SECOND))))
         return 0
-    if given.command == "peers":
-        return measure_peers(given.balancers, given.seed, given.quiet, given.acquainted)
-    if given.command == "configuration":
-        return play_configuration(given)
-    return run_scenario(given)
+    if arguments.command == "peers":
+        return measure_peers(arguments.balancers, arguments.seed, arguments.quiet, arguments.acquainted)
+    if arguments.command == "configuration":
+        return measure_configuration(arguments)
+    return run_scenario(arguments)
 
 
-def play_configuration(given: argparse.Namespace) -> int:
+def measure_configuration(arguments: argparse.Namespace) -> int:
     print("| " + " | ".join(configured.HEADS) + " |\n" + "| --- " * len(configured.HEADS) + "|")
-    cut_for = round(given.cut * talk.SECOND)
-    configured.play(configured.Given(given.balancers, given.size, cut_for), given.seed, given.play)
+    cut_duration = round(arguments.cut * talk.SECOND)
+    configured.play(
+        configured.Given(arguments.balancers, arguments.size, cut_duration), arguments.seed, arguments.play
+    )
     return 0
 
 
 def measure_peers(sizes: list[int], seed: int, quiet: float, acquainted: bool) -> int:
-    """A row as soon as a size is measured."""
+    """Prints a row for each fleet size as soon as it is measured."""
     print("| " + " | ".join(talk.HEADS) + " |\n" + "| --- " * len(talk.HEADS) + "|")
     for size in sizes:
         figures = talk.measure(size, seed, round(quiet * talk.SECOND), acquainted)
@@ -70,34 +82,34 @@
     return 0
 
 
-def run_scenario(given: argparse.Namespace) -> int:
+def run_scenario(arguments: argparse.Namespace) -> int:
     try:
-        scenario = read(given.scenario)
-    except Unfit as why:
-        print(f"thymedeck.lab: {why}", file=sys.stderr)
+        scenario = read_scenario(arguments.scenario)
+    except Unfit as error:
+        print(f"thymedeck.lab: {error}", file=sys.stderr)
         return 2
-    seed = scenario.sheet.seed if given.seed is None else given.seed
-    played = Run(scenario, seed, given.processes)
+    seed = scenario.spec.seed if arguments.seed is None else arguments.seed
+    scenario_run = ScenarioRun(scenario, seed, arguments.processes)
 
-    def say(text: str) -> None:
+    def report_progress(text: str) -> None:
         if sys.stderr.isatty():
             print(text, file=sys.stderr)
 
-    rows = played.play(say)
-    where = "real processes" if given.processes else "virtual time"
-    print(f"{scenario.sheet.title}: {scenario.sheet.fleet.balancers} balancers in {where}, seed {seed}")
-    if played.agreed_at >= 0:
-        print(f"all agreed on who runs {played.agreed_at / 10_000:.1f} s after the play")
-    print("| check | looked at | wrong |\n| --- | --- | --- |")
-    for row in rows:
-        print(f"| {row.check} | {row.looked_at} | {len(row.wrong)} |")
-    for row in rows:
-        for line in row.wrong[:5]:
-            print(f"  {row.check}: {line}")
-    if given.record:
-        with open(given.record, "wb") as file:
-            file.write(played.stage.record.as_bytes())
-    return 1 if any(row.wrong for row in rows) else 0
+    results = scenario_run.run(report_progress)
+    mode = "real processes" if arguments.processes else "virtual time"
+    print(f"{scenario.spec.title}: {scenario.spec.fleet.balancers} balancers in {mode}, seed {seed}")
+    if scenario_run.agreement_time >= 0:
+        print(f"membership agreed {scenario_run.agreement_time / 10_000:.1f} s after the end of the scenario")
+    print("| check | examined | violations |\n| --- | --- | --- |")
+    for result in results:
+        print(f"| {result.check} | {result.examined} | {len(result.violations)} |")
+    for result in results:
+        for line in result.violations[:5]:
+            print(f"  {result.check}: {line}")
+    if arguments.record:
+        with open(arguments.record, "wb") as file:
+            file.write(scenario_run.testbed.record.as_bytes())
+    return 1 if any(result.violations for result in results) else 0
 
 
 if __name__ == "__main__":
--- a/thymedeck/lab/faults.py
+++ b/thymedeck/lab/faults.py
@@ -1,7 +1,7 @@
-"""What is broken between two parties, by directed pair and by time. Decides alone; sockets are elsewhere.
+"""Network fault injection per directed pair of parties and time interval. Makes decisions only; does no I/O.
 
-Times are whole tenths of a millisecond since the start of the play. A side of a pair is a name, or a pattern
-of names as of the shell (`b*`); entries may overlap, and each that holds acts on what passes.
+Times are integers in tenths of a millisecond since the start of the run. Each side of a pair is a name or a
+shell-style pattern of names (`b*`). Faults may overlap; all active ones apply to the same traffic.
 """
 
 import random
@@ -11,57 +11,59 @@
 
 
 class Fault(Struct, frozen=True):
-    """From one side to the other alone; the other way is another entry."""
+    """A fault in one direction only; the opposite direction needs a second entry."""
 
     since: int
     until: int
     source: str = "*"
     target: str = "*"
-    cut: bool = False  # nothing passes; a stream stays open and silent
+    cut: bool = False  # nothing is delivered; a stream stays open but silent
     delay: int = 0
-    spread: int = 0  # by chance, added to the delay: what overtakes comes in another order
-    lose: float = 0.0  # of datagrams, by chance
-    repeat: float = 0.0
-    garble: float = 0.0
+    spread: int = 0  # random addition to the delay, up to this much; datagrams may be reordered
+    lose: float = 0.0  # probability of losing a datagram
+    repeat: float = 0.0  # probability of duplicating a datagram
+    garble: float = 0.0  # probability of corrupting one byte of a datagram
 
 
-class Faults:
-    """Chance by one seed; the same calls give the same fates."""
+class FaultInjector:
+    """Decides what happens to traffic. Deterministic: the same seed and calls give the same results."""
 
     def __init__(self, seed: int, entries: tuple[Fault, ...] = ()) -> None:
-        chance = random.Random(seed)
-        self.uniform = chance.uniform
-        self.randrange = chance.randrange
+        rng = random.Random(seed)
+        self.uniform = rng.uniform
+        self.randrange = rng.randrange
         self.entries = list(entries)
 
-    def now_on(self, now: int, source: str, target: str) -> list[Fault]:
+    def active_faults(self, now: int, source: str, target: str) -> list[Fault]:
         return [
-            one
-            for one in self.entries
-            if one.since <= now < one.until
-            and fnmatchcase(source, one.source)
-            and fnmatchcase(target, one.target)
+            fault
+            for fault in self.entries
+            if fault.since <= now < fault.until
+            and fnmatchcase(source, fault.source)
+            and fnmatchcase(target, fault.target)
         ]
 
     def is_cut(self, now: int, source: str, target: str) -> bool:
-        return any(one.cut for one in self.now_on(now, source, target))
+        return any(fault.cut for fault in self.active_faults(now, source, target))
 
-    def delay(self, now: int, source: str, target: str) -> int:
-        """Of a stream's bytes, whose order it keeps."""
-        return sum(one.delay for one in self.now_on(now, source, target))
+    def stream_delay(self, now: int, source: str, target: str) -> int:
+        """Returns the extra delay of a stream's bytes. It has no random part, as streams keep their order."""
+        return sum(fault.delay for fault in self.active_faults(now, source, target))
 
-    def fates(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
-        """What comes out of one datagram: each copy with its delay."""
-        on = self.now_on(now, source, target)
-        if not on:
+    def deliveries(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
+        """Returns the copies of one datagram that arrive, each with its extra delay; empty if it is lost."""
+        active = self.active_faults(now, source, target)
+        if not active:
             return [(0, data)]
         copies = [data]
-        for one in on:
-            if one.cut or self.uniform(0, 1) < one.lose:
+        for fault in active:
+            if fault.cut or self.uniform(0, 1) < fault.lose:
                 return []
-            if self.uniform(0, 1) < one.repeat:
+            if self.uniform(0, 1) < fault.repeat:
                 copies.append(data)
-            if data and self.uniform(0, 1) < one.garble:
-                at = self.randrange(len(data))
-                copies = [copy[:at] + bytes([copy[at] ^ 0x55]) + copy[at + 1 :] for copy in copies]
-        return [(sum(int(f.delay + self.uniform(0, f.spread)) for f in on), copy) for copy in copies]
+            if data and self.uniform(0, 1) < fault.garble:
+                position = self.randrange(len(data))
+                copies = [
+                    copy[:position] + bytes([copy[position] ^ 0x55]) + copy[position + 1 :] for copy in copies
+                ]
+        return [(sum(int(f.delay + self.uniform(0, f.spread)) for f in active), copy) for copy in copies]
--- a/thymedeck/lab/followers.py
+++ b/thymedeck/lab/followers.py
@@ -33,7 +33,7 @@
     Version,
     encode,
 )
-from .faults import Faults
+from .faults import FaultInjector
 
 FRAME = 60  # bytes of TCP and IP beside a message (estimate; the digest of a transport among them)
 NEAR = (3, 10)  # a way inside a region: from, to
@@ -59,7 +59,7 @@
     ) -> None:  # fmt: skip
         self.bounds = bounds or Bounds()
         self.chance = random.Random(seed)
-        self.faults = Faults(seed + 1)
+        self.faults = FaultInjector(seed + 1)
         self.check = check
         self.keepers = [f"k{at}.{at % regions}" for at in range(keepers)]
         self.followers = [f"b{at}.{at % regions}" for at in range(followers)]
@@ -234,7 +234,7 @@
         if target not in self.nodes:
             return
         low, high = NEAR if source.rpartition(".")[2] == target.rpartition(".")[2] else FAR
-        for delay, _ in self.faults.fates(self.now, source, target, b""):
+        for delay, _ in self.faults.deliveries(self.now, source, target, b""):
             way = delay + self.chance.randrange(low, high)
             self.at(self.now + way, lambda: self.arrive(source, target, message, size))
 
--- a/thymedeck/lab/measure.py
+++ b/thymedeck/lab/measure.py
@@ -1,52 +1,57 @@
-"""What peers cost and how soon they notice, on real daemons: from their logs, the relays and the kernel."""
+"""Measures the cost and detection times of peers on real daemons, from their logs, the relays and /proc."""
 
-from .play import settings
-from .stage import SECOND, Processes, cpu_seconds
+from .play import deployment_settings
+from .stage import SECOND, ProcessTestbed, cpu_seconds
 from .talk import cut_by_parity
 
-PATIENCE = 60 * SECOND
+CONVERGENCE_TIMEOUT = 60 * SECOND
 
 
 def measure_processes(balancers: int, seed: int, quiet: int) -> list[str]:
-    told = settings(balancers, ["m1"], ["a"])
-    with Processes(seed, told, {}) as stage:
-        names = stage.bring_up(balancers)
-        lines = [f"all met after {until_all_hold(stage, balancers - 1)}"]
-        core, rate = cost(stage, names, quiet)
-        lines.append(f"with peers: {core:.4f} of a core, {rate:.0f} B/s sent, each")
-        stage.kill("b1")
-        lines.append(f"a death known to all after {until_all_hold(stage, balancers - 2)}")
-        stage.start("b1")
-        stage.started("b1")
-        lines.append(f"a join known to all after {until_all_hold(stage, balancers - 1)}")
-        stage.run(5 * SECOND)
-        stage.faults.entries += cut_by_parity(stage.now())
-        stage.run(10 * SECOND)
-        lines.append(f"halves cut for 10 s agree after {until_all_hold(stage, balancers - 1)}")
-    with Processes(seed, told, None) as stage:
-        core, _ = cost(stage, stage.bring_up(balancers), quiet)
-        lines.append(f"without peers: {core:.4f} of a core each")
+    """Returns lines of results. `quiet` is how long the cost is measured while nothing happens."""
+    settings = deployment_settings(balancers, ["m1"], ["a"])
+    with ProcessTestbed(seed, settings, {}) as testbed:
+        names = testbed.start_fleet(balancers)
+        lines = [f"full membership after {time_until_all_see(testbed, balancers - 1)}"]
+        core, rate = measure_cost(testbed, names, quiet)
+        lines.append(f"with peers: {core:.4f} CPU cores, {rate:.0f} B/s sent, per balancer")
+        testbed.kill("b1")
+        lines.append(f"failure detected by all after {time_until_all_see(testbed, balancers - 2)}")
+        testbed.start("b1")
+        testbed.wait_until_started("b1")
+        lines.append(f"join seen by all after {time_until_all_see(testbed, balancers - 1)}")
+        testbed.run(5 * SECOND)
+        testbed.faults.entries += cut_by_parity(testbed.now())
+        testbed.run(10 * SECOND)
+        lines.append(
+            f"membership agreed after a 10 s partition: {time_until_all_see(testbed, balancers - 1)}"
+        )
+    with ProcessTestbed(seed, settings, None) as testbed:
+        core, _ = measure_cost(testbed, testbed.start_fleet(balancers), quiet)
+        lines.append(f"without peers: {core:.4f} CPU cores per balancer")
     return lines
 
 
-def until_all_hold(stage: Processes, count: int) -> str:
-    """How long until all that run hold so many others to be here; "-" if that does not come about."""
-    since = stage.now()
-    if not stage.run_until(lambda: all(stage.here(name) == count for name in stage.alive), PATIENCE):
+def time_until_all_see(testbed: ProcessTestbed, count: int) -> str:
+    """Waits until every running balancer reports `count` live peers; returns the time, "-" on a timeout."""
+    since = testbed.now()
+    if not testbed.run_until(
+        lambda: all(testbed.live_peer_count(name) == count for name in testbed.alive), CONVERGENCE_TIMEOUT
+    ):
         return "-"
-    return f"{(stage.now() - since) / SECOND:.1f} s"
+    return f"{(testbed.now() - since) / SECOND:.1f} s"
 
 
-def cost(stage: Processes, names: list[str], quiet: int) -> tuple[float, float]:
-    """Part of a core, and bytes sent a second, of each while nothing happens."""
+def measure_cost(testbed: ProcessTestbed, names: list[str], quiet: int) -> tuple[float, float]:
+    """Returns the fraction of a CPU core and the datagram bytes per second that each balancer uses."""
 
-    def used() -> tuple[float, int]:
-        cpu = sum(cpu_seconds(stage.running[name].pid) for name in names)
-        return cpu, sum(stage.datagram_bytes.get(name, 0) for name in names)
+    def usage() -> tuple[float, int]:
+        cpu = sum(cpu_seconds(testbed.processes[name].pid) for name in names)
+        return cpu, sum(testbed.datagram_bytes.get(name, 0) for name in names)
 
-    stage.run(2 * SECOND)
-    cpu, sent = used()
-    stage.run(quiet)
-    cpu_after, sent_after = used()
-    all_seconds = len(names) * quiet / SECOND
-    return (cpu_after - cpu) / all_seconds, (sent_after - sent) / all_seconds
+    testbed.run(2 * SECOND)
+    cpu, sent = usage()
+    testbed.run(quiet)
+    cpu_after, sent_after = usage()
+    balancer_seconds = len(names) * quiet / SECOND
+    return (cpu_after - cpu) / balancer_seconds, (sent_after - sent) / balancer_seconds
--- a/thymedeck/lab/play.py
+++ b/thymedeck/lab/play.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on either stage, then has the rules checked on what the stand-ins saw."""
+"""Runs a scenario on either testbed, then checks the rules against what the stand-ins recorded."""
 
 from collections.abc import Callable
 from fnmatch import fnmatchcase
@@ -7,25 +7,25 @@
 
 from ..peers.stated import RATES, TIMES, figure
 from . import checks
-from .scenario import Deed, Scenario
-from .stage import SECOND, Processes, Stage, Virtual
+from .scenario import Scenario, TimedAction
+from .stage import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
 from .standins import Listed
 
 EFFECTS = {"chat": "repeatable", "once": "once"}
-CALM = 5 * SECOND  # after the length, for what is under way to be answered
+SETTLE_TIME = 5 * SECOND  # after the scenario's length, so that pending requests are answered
 
 
-def listener(name: str, effect: str) -> dict:
+def listener_settings(name: str, effect: str) -> dict:
     return {
         "name": name, "handshake_target_us": 300_000, "deadline_us": 2_000_000, "effect": effect,
         "utility": 1.0, "dedup_scope": "all", "memory_span_us": 5_000_000,
     }  # fmt: skip
 
 
-def settings(balancers: int, kinds: list[str], zones: list[str]) -> dict:
-    """The deployment's object as balancers are told it in every play."""
+def deployment_settings(balancers: int, kinds: list[str], zones: list[str]) -> dict:
+    """Returns the `settings` object that balancers get in every run."""
     return {
-        "listeners": [listener("chat", "pure"), listener("once", "side_effect")],
+        "listeners": [listener_settings("chat", "pure"), listener_settings("once", "side_effect")],
         "limits": {"max_dials": 4, "dial_timeout_us": 150_000},
         "contract": {
             "ask_within_us": 10_000_000, "start_capacity": 0.3, "warm_after_us": 8_000_000,
@@ -40,97 +40,98 @@
     }  # fmt: skip
 
 
-class Row(Struct):
-    """What one check saw."""
-
+class CheckResult(Struct):
     check: str
-    looked_at: int
-    wrong: list[str]
+    examined: int  # how many cases the check looked at
+    violations: list[str]
+
 
+def make_testbed(scenario: Scenario, seed: int, processes: bool) -> BaseTestbed:
+    spec = scenario.spec
+    kinds = list(dict.fromkeys(group.kind for group in spec.servers))
+    zones = list(dict.fromkeys(group.zone for group in spec.servers))
+    settings = deployment_settings(spec.fleet.balancers, kinds, zones)
+    peers_options = {} if spec.fleet.peers else None
+    return (ProcessTestbed if processes else VirtualTestbed)(seed, settings, peers_options)
 
-def stage_for(scenario: Scenario, seed: int, processes: bool) -> Stage:
-    sheet = scenario.sheet
-    kinds = list(dict.fromkeys(one.kind for one in sheet.servers))
-    zones = list(dict.fromkeys(one.zone for one in sheet.servers))
-    told = settings(sheet.fleet.balancers, kinds, zones)
-    peers = {} if sheet.fleet.peers else None
-    return (Processes if processes else Virtual)(seed, told, peers)
 
+class ScenarioRun:
+    """One run of a scenario: sets up the testbed, applies faults and actions in time, checks the record."""
 
-class Run:
     def __init__(self, scenario: Scenario, seed: int, processes: bool) -> None:
         self.scenario = scenario
         self.seed = seed
-        self.stage = stage_for(scenario, seed, processes)
-        self.names = [f"b{at}" for at in range(scenario.sheet.fleet.balancers)]
-        self.agreed_at = -1
+        self.testbed = make_testbed(scenario, seed, processes)
+        self.names = [f"b{index}" for index in range(scenario.spec.fleet.balancers)]
+        self.agreement_time = -1  # from the end of the scenario; -1: no agreement
 
     def set_up(self) -> None:
-        sheet, stage = self.scenario.sheet, self.stage
-        made = []
-        for group in sheet.servers:
+        spec, testbed = self.scenario.spec, self.testbed
+        listed = []
+        for group in spec.servers:
             for _ in range(group.count):
-                ident = f"s{len(made)}"
-                stage.add_server(ident, limit=group.limit, work=figure(group.work, TIMES))
-                made.append(Listed(ident, zone=group.zone, kind=group.kind))
-        stage.list.set(*made)
-        if sheet.list_service.known:
-            stage.known = made
-        if sheet.list_service.capacity:
-            stage.list.capacity = figure(sheet.list_service.capacity, RATES)
-            stage.list.refusal_cost = sheet.list_service.refusal_cost
+                server_id = f"s{len(listed)}"
+                testbed.add_server(server_id, limit=group.limit, work=figure(group.work, TIMES))
+                listed.append(Listed(server_id, zone=group.zone, kind=group.kind))
+        testbed.list_service.set(*listed)
+        if spec.list_service.known:
+            testbed.known_servers = listed
+        if spec.list_service.capacity:
+            testbed.list_service.capacity = figure(spec.list_service.capacity, RATES)
+            testbed.list_service.refusal_cost = spec.list_service.refusal_cost
         for name in self.names:
-            stage.start(name)
-        stage.started(*self.names)
+            testbed.start(name)
+        testbed.wait_until_started(*self.names)
 
-    def play(self, say: Callable[[str], None] = lambda text: None) -> list[Row]:
-        stage, scenario = self.stage, self.scenario
+    def run(self, report_progress: Callable[[str], None] = lambda text: None) -> list[CheckResult]:
+        testbed, scenario = self.testbed, self.scenario
         try:
             self.set_up()
-            begin = stage.now()
-            stage.faults.entries += [
-                structs.replace(one, since=one.since + begin, until=one.until + begin)
-                for one in scenario.faults
+            begin = testbed.now()
+            testbed.faults.entries += [
+                structs.replace(fault, since=fault.since + begin, until=fault.until + begin)
+                for fault in scenario.faults
             ]
-            for at, one in enumerate(scenario.sheet.clients):
-                rate = figure(one.rate, RATES)
-                stage.add_crowd(
-                    self.seed * 1000 + at, rate, figure(one.life, TIMES), tuple(one.classes),
-                    figure(one.deadline, TIMES),
+            for index, group in enumerate(scenario.spec.clients):
+                rate = figure(group.rate, RATES)
+                testbed.add_clients(
+                    self.seed * 1000 + index, rate, figure(group.life, TIMES), tuple(group.classes),
+                    figure(group.deadline, TIMES),
                 )  # fmt: skip
-            for at, deed in scenario.deeds:
-                stage.run(max(begin + at - stage.now(), 0))
-                say(f"{at / SECOND:.1f} s: {deed.what} {' '.join(deed.who)}")
-                self.do(deed)
-            stage.run(max(begin + scenario.length - stage.now(), 0))
-            if scenario.agree_within:
-                since = stage.now()
-                if stage.run_until(self.agree, scenario.agree_within):
-                    self.agreed_at = stage.now() - since
-            for crowd in stage.crowds:
-                crowd.stopped = True
-            stage.run(CALM)
+            for at, action in scenario.actions:
+                testbed.run(max(begin + at - testbed.now(), 0))
+                report_progress(f"{at / SECOND:.1f} s: {action.what} {' '.join(action.who)}")
+                self.apply_action(action)
+            testbed.run(max(begin + scenario.duration - testbed.now(), 0))
+            if scenario.agreement_timeout:
+                since = testbed.now()
+                if testbed.run_until(self.is_membership_agreed, scenario.agreement_timeout):
+                    self.agreement_time = testbed.now() - since
+            for clients in testbed.client_groups:
+                clients.stopped = True
+            testbed.run(SETTLE_TIME)
             return self.check()
         finally:
-            stage.close()
+            testbed.close()
 
-    def do(self, deed: Deed) -> None:
-        stage = self.stage
-        if deed.what.startswith("list"):
-            self.do_to_list(deed.what.partition(" ")[2])
+    def apply_action(self, action: TimedAction) -> None:
+        testbed = self.testbed
+        if action.what.startswith("list"):
+            self.apply_to_list_service(action.what.partition(" ")[2])
             return
-        names = [*self.names, *stage.servers]
-        meant = [one for one in names if any(fnmatchcase(one, pattern) for pattern in deed.who)]
-        for name in meant:
-            if name in stage.servers:
-                self.do_to_server(deed, name)
+        names = [*self.names, *testbed.servers]
+        matching = [party for party in names if any(fnmatchcase(party, pattern) for pattern in action.who)]
+        for name in matching:
+            if name in testbed.servers:
+                self.apply_to_server(action, name)
             else:
-                getattr(stage, deed.what)(name)
-        if deed.what == "start":
-            stage.started(*meant)
+                # The methods of the testbed are named as the actions in scenario files.
+                getattr(testbed, action.what)(name)
+        if action.what == "start":
+            testbed.wait_until_started(*matching)
 
-    def do_to_list(self, what: str) -> None:
-        service = self.stage.list
+    def apply_to_list_service(self, what: str) -> None:
+        service = self.testbed.list_service
         if what == "down":
             service.fall()
         elif what == "up":
@@ -142,24 +143,26 @@
         else:
             service.stale, service.wrong = None, False
 
-    def do_to_server(self, deed: Deed, name: str) -> None:
-        stage = self.stage
-        server = stage.servers[name]
-        match deed.what:
+    def apply_to_server(self, action: TimedAction, name: str) -> None:
+        testbed = self.testbed
+        server = testbed.servers[name]
+        match action.what:
             case "drain":
                 server.draining = True
-                stage.list.change(name, state="DRAINING")
+                testbed.list_service.change(name, state="DRAINING")
             case "leave" | "kill":
-                if deed.what == "leave":
-                    stage.list.change(name, state="DELETED")
+                if action.what == "leave":
+                    testbed.list_service.change(name, state="DELETED")
                 server.stop()
             case "cold":
-                # It comes back under its name, and the list tells when it started.
+                # The server restarts under the same name, and the list gives its new start time.
                 server.stop()
                 server.draining = server.silent = server.fallen = False
-                stage.open_server(server)
-                server.start_cold(deed.budget, 8 * SECOND)
-                stage.list.change(name, state="SERVING", started_ms=stage.loop.system.time_ns() / 1_000_000)
+                testbed.open_server(server)
+                server.start_cold(action.budget, 8 * SECOND)
+                testbed.list_service.change(
+                    name, state="SERVING", started_ms=testbed.loop.system.time_ns() / 1_000_000
+                )
             case "silent":
                 server.silent = True
             case "lose answers":
@@ -169,36 +172,44 @@
             case "well":
                 server.silent = server.lose_answers = server.reset_lines = False
 
-    # The end
+    # Evaluation
 
-    def agree(self) -> bool:
-        """Each balancer that runs holds all others that run to be here, and nobody else."""
-        stage = self.stage
-        running = set(self.names) & stage.alive
-        if isinstance(stage, Virtual):
+    def is_membership_agreed(self) -> bool:
+        """Whether each running balancer regards all other running ones as alive, and nobody else."""
+        testbed = self.testbed
+        running = set(self.names) & testbed.alive
+        if isinstance(testbed, VirtualTestbed):
             return all(
-                {peer.name for peer in stage.carriers[name].peers.here()} == running - {name}
+                {peer.name for peer in testbed.carriers[name].peers.here()} == running - {name}
                 for name in running
             )
-        return all(stage.here(name) == len(running) - 1 for name in running)
-
-    def check(self) -> list[Row]:
-        stage, scenario = self.stage, self.scenario
-        entries = stage.record.entries
-        lines, dials = len(stage.record.of("client line")), len(stage.record.of("server line"))
-        rows = [
-            Row("one final answer in time", lines, checks.one_answer(entries, stage.now())),
-            Row("no effect twice", dials, checks.no_effect_twice(entries, EFFECTS)),
-            Row("drains kept", dials, checks.drains_kept(entries, scenario.grace)),
-            Row("no cold server pushed over", len(stage.record.of("cold")), checks.cold_spared(entries)),
+        return all(testbed.live_peer_count(name) == len(running) - 1 for name in running)
+
+    def check(self) -> list[CheckResult]:
+        testbed, scenario = self.testbed, self.scenario
+        entries = testbed.record.entries
+        requests, dials = (
+            len(testbed.record.of_kind("client line")),
+            len(testbed.record.of_kind("server line")),
+        )
+        results = [
+            CheckResult("one final answer in time", requests, checks.one_answer(entries, testbed.now())),
+            CheckResult("no effect twice", dials, checks.no_effect_twice(entries, EFFECTS)),
+            CheckResult("drains respected", dials, checks.drains_kept(entries, scenario.drain_grace)),
+            CheckResult(
+                "no cold server overloaded", len(testbed.record.of_kind("cold")), checks.cold_spared(entries)
+            ),
+        ]
+        faults = [
+            f"{name}: {entry}"[:300] for name in self.names for entry in testbed.log(name) if is_fault(entry)
         ]
-        faults = [f"{name}: {one}"[:300] for name in self.names for one in stage.log(name) if is_fault(one)]
-        rows.append(Row("no fault logged", len(self.names), faults))
-        if scenario.agree_within:
-            wrong = [] if self.agreed_at >= 0 else ["they did not agree"]
-            rows.append(Row("all know who runs", len(stage.alive), wrong))
-        return rows
+        results.append(CheckResult("no fault logged", len(self.names), faults))
+        if scenario.agreement_timeout:
+            violations = [] if self.agreement_time >= 0 else ["the balancers did not agree"]
+            results.append(CheckResult("membership agreed", len(testbed.alive), violations))
+        return results
 
 
 def is_fault(entry: dict) -> bool:
+    """Whether a log entry shows an error; `text` stands for a line that is not JSON, such as a traceback."""
     return entry["event"] in ("fault", "text", "unanswered")
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -9,9 +9,9 @@
 
 from ...peers.messages import Counts, Envelope, Kind, Message, Unusable
 from ...peers.node import Peers
-from ..measure import PATIENCE
-from ..play import settings
-from ..stage import KEY, Processes, cpu_seconds
+from ..measure import CONVERGENCE_TIMEOUT
+from ..play import deployment_settings
+from ..stage import SHARED_KEY, ProcessTestbed, cpu_seconds
 from ..talk import KEYS, SECOND, Talk, Truth, most_in_a_second
 from .process import apart, memory
 
@@ -209,7 +209,7 @@
     """Nothing passes between one side and the other while it is on."""
 
     def __init__(self, talk: Talk, side: set[str]) -> None:
-        self.beyond, talk.faults.fates = talk.faults.fates, self.fates
+        self.beyond, talk.faults.deliveries = talk.faults.deliveries, self.fates
         self.side = side
         self.on = True
 
@@ -239,10 +239,10 @@
 class Sniffed:
     """Stands before the relays' faults and looks into what passes."""
 
-    def __init__(self, stage: Processes) -> None:
+    def __init__(self, stage: ProcessTestbed) -> None:
         self.tally = Tally()
-        self.envelope = Envelope("lab", [bytes.fromhex(KEY)])
-        self.beyond, stage.faults.fates = stage.faults.fates, self.fates
+        self.envelope = Envelope("lab", [bytes.fromhex(SHARED_KEY)])
+        self.beyond, stage.faults.deliveries = stage.faults.deliveries, self.fates
 
     def fates(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
         try:
@@ -255,24 +255,26 @@
 def agree(balancers: int, kind: str, seed: int, quiet: int) -> dict:
     if kind == "hollow":
         return apart(hollow_here, balancers=balancers, seed=seed, quiet=quiet)
-    told = settings(balancers, ["m1"], ["a"])
-    with Processes(seed, told, {}) as stage:
-        names = stage.bring_up(balancers)
-        stage.run_until(lambda: all(stage.here(n) == balancers - 1 for n in stage.alive), PATIENCE)
+    told = deployment_settings(balancers, ["m1"], ["a"])
+    with ProcessTestbed(seed, told, {}) as stage:
+        names = stage.start_fleet(balancers)
+        stage.run_until(
+            lambda: all(stage.live_peer_count(n) == balancers - 1 for n in stage.alive), CONVERGENCE_TIMEOUT
+        )
         stage.run(30 * SECOND)
         sniffed = Sniffed(stage)
         core = cost(stage, names, quiet)
         tally = sniffed.tally
-    with Processes(seed, told, None) as stage:
-        core -= cost(stage, stage.bring_up(balancers), quiet)
+    with ProcessTestbed(seed, told, None) as stage:
+        core -= cost(stage, stage.start_fleet(balancers), quiet)
     return shown(tally, balancers, quiet, core)
 
 
-def cost(stage: Processes, names: list[str], quiet: int) -> float:
+def cost(stage: ProcessTestbed, names: list[str], quiet: int) -> float:
     """Part of a core that each takes."""
-    before = sum(cpu_seconds(stage.running[name].pid) for name in names)
+    before = sum(cpu_seconds(stage.processes[name].pid) for name in names)
     stage.run(quiet * SECOND)
-    after = sum(cpu_seconds(stage.running[name].pid) for name in names)
+    after = sum(cpu_seconds(stage.processes[name].pid) for name in names)
     return (after - before) / len(names) / quiet
 
 
--- a/thymedeck/lab/scale/daemon.py
+++ b/thymedeck/lab/scale/daemon.py
@@ -12,8 +12,8 @@
 
 import orjson
 
-from ..play import settings
-from ..stage import KEY
+from ..play import deployment_settings
+from ..stage import SHARED_KEY
 from .process import cpu, descriptors, memory
 
 READY_WITHIN = 60.0
@@ -28,7 +28,7 @@
         """`servers` as the list of before names them, none: all are asked for; `peers`: of their file."""
         self.folder = tempfile.TemporaryDirectory(prefix="thymedeck-scale-")
         self.log = Path(self.folder.name, "log")
-        given = settings(1, ["m1"], ["a"])
+        given = deployment_settings(1, ["m1"], ["a"])
         given["limits"] |= {"dial_timeout_us": 2_000_000}
         told = {
             "name": name, "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1", "settings": given,
@@ -40,7 +40,7 @@
         if peers is not None:
             key = Path(self.folder.name, "peers.key")
             key.touch(mode=0o600)
-            key.write_text(KEY)
+            key.write_text(SHARED_KEY)
             text = [f"{name} = {orjson.dumps(value).decode()}\n" for name, value in peers.items()]
             Path(self.folder.name, "peers.toml").write_text("".join(text) + 'key_file = "peers.key"\n')
             call += ["--peers", Path(self.folder.name, "peers.toml")]
--- a/thymedeck/lab/scale/listing.py
+++ b/thymedeck/lab/scale/listing.py
@@ -11,7 +11,7 @@
 from ... import interface as own
 from ...policy import Balancer
 from ...stated import Env, deployment
-from ..play import settings
+from ..play import deployment_settings
 from .crowd import run_lists
 from .daemon import Daemon, row_of
 from .process import Worker, apart, memory
@@ -92,7 +92,7 @@
 
 
 def pick_here(servers: int, repeat: int) -> dict:
-    site = deployment(msgspec.convert(settings(1, ["m1"], ["a"]), Env))
+    site = deployment(msgspec.convert(deployment_settings(1, ["m1"], ["a"]), Env))
     balancer = Balancer(repeat, site)
     before, now = memory(os.getpid()), 1_000_000
     begin = time.process_time()
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -15,7 +15,7 @@
 from ...peers.messages import LARGEST, Envelope, Unusable
 from ...peers.node import TICK, Peer, Peers
 from ...peers.words import Action, Came, Counted, Send, Tick
-from ..stage import KEY
+from ..stage import SHARED_KEY
 from ..talk import SECOND, Truth, stated
 from .control import Tally
 from .daemon import Daemon
@@ -38,7 +38,7 @@
         own = stated(0, advertise=self.address)
         unix_ms = loop.system.time_ns() // 1_000_000
         self.peers = Peers(own, name, chance.getrandbits(60), loop.now(), unix_ms, size)
-        self.envelope = Envelope("lab", [bytes.fromhex(KEY)])
+        self.envelope = Envelope("lab", [bytes.fromhex(SHARED_KEY)])
         self.truth = Truth(random.Random(chance.getrandbits(60)), SERVERS)
         self.tally = Tally()  # of what came from each real daemon
         self.real: frozenset[str] = frozenset()
--- a/thymedeck/lab/scenario.py
+++ b/thymedeck/lab/scenario.py
@@ -1,7 +1,7 @@
-"""A play as a file of TOML: who is there, what breaks between them and when, and what is asked of the end.
+"""Scenario files (TOML): the parties, the faults and actions over time, and the conditions at the end.
 
-Decoded strictly. Raises Unfit with one line that names the file, the entry and the reason. Times are figures
-with a unit ("300 ms"), rates too ("20 /s").
+Decoding is strict. Raises Unfit with one line that names the file, the entry and the reason. Times ("300 ms")
+and rates ("20 /s") are written with their units.
 """
 
 from typing import Literal
@@ -11,41 +11,41 @@
 from ..peers.stated import RATES, TIMES, Unfit, figure, sheet_of
 from .faults import Fault
 
-MOST_BALANCERS = 500
+MAX_BALANCERS = 500
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True):
+class StrictStruct(msgspec.Struct, forbid_unknown_fields=True):
     pass
 
 
-class Fleet(Strict):
+class FleetSpec(StrictStruct):
     balancers: int
     peers: bool = False
 
 
-class Servers(Strict):
+class ServerGroup(StrictStruct):
     count: int
     kind: str = "m1"
     zone: str = "a"
     limit: int = 100_000  # connections
-    work: str = "5 ms"  # for a set-up, one after the other
+    work: str = "5 ms"  # per session setup; setups are processed one at a time
 
 
-class TheList(Strict):
-    capacity: str = ""  # calls a second; none given: unbounded
-    refusal_cost: float = 0.0  # of a refusal, in parts of an answer's
-    known: bool = True  # the servers are told to balancers at their start
+class ListServiceSpec(StrictStruct):
+    capacity: str = ""  # calls per second; empty: unlimited
+    refusal_cost: float = 0.0  # of a refusal, as a fraction of an answer's cost
+    known: bool = True  # whether balancers are given the servers at startup
 
 
-class Clients(Strict):
+class ClientGroup(StrictStruct):
     rate: str
     life: str = "10 s"
     classes: tuple[str, ...] = ("chat",)
     deadline: str = "2 s"
 
 
-class Broken(Strict):
-    """Between two sides, given as patterns of names: both ways, or only from the first to the second."""
+class FaultSpec(StrictStruct):
+    """A fault between two sides given as name patterns: both ways, or only from the first to the second."""
 
     at: str
     lasts: str
@@ -59,8 +59,8 @@
     garble: float = 0.0
 
 
-class Deed(Strict):
-    """Done to each of `who`, given as patterns of names; or to the list."""
+class TimedAction(StrictStruct):
+    """An action on each party that matches a pattern in `who`, or on the list service."""
 
     at: str
     what: Literal[
@@ -68,94 +68,101 @@
         "well", "cold", "list down", "list up", "list stale", "list fresh", "list wrong",
     ]  # fmt: skip
     who: list[str] = []
-    budget: float = 0.0  # of `cold`: dials in a window, over all balancers
+    budget: float = 0.0  # for `cold`: dials allowed per window, over all balancers
 
 
-class Sheet(Strict):
+class ScenarioSpec(StrictStruct):
+    """The file as written."""
+
     title: str
     length: str
-    fleet: Fleet
+    fleet: FleetSpec
     seed: int = 1
-    servers: list[Servers] = []
-    list_service: TheList = msgspec.field(default_factory=TheList)
-    clients: list[Clients] = []
-    broken: list[Broken] = []
-    deeds: list[Deed] = []
-    agree_within: str = ""  # at the end: all know all that run, and nobody else
+    servers: list[ServerGroup] = []
+    list_service: ListServiceSpec = msgspec.field(default_factory=ListServiceSpec)
+    clients: list[ClientGroup] = []
+    broken: list[FaultSpec] = []
+    deeds: list[TimedAction] = []
+    agree_within: str = ""  # at the end: every running balancer knows all running ones and no others
     grace: str = "2 s"  # for drains
 
 
 class Scenario(msgspec.Struct):
-    sheet: Sheet
-    length: int
+    """A scenario with its times converted; faults are split by direction, actions are sorted by time."""
+
+    spec: ScenarioSpec
+    duration: int
     faults: list[Fault]
-    deeds: list[tuple[int, Deed]]
-    agree_within: int
-    grace: int
+    actions: list[tuple[int, TimedAction]]
+    agreement_timeout: int
+    drain_grace: int
 
 
-def read(path: str) -> Scenario:
+def read_scenario(path: str) -> Scenario:
     """Raises Unfit."""
-    sheet: Sheet = sheet_of(path, Sheet)
+    spec: ScenarioSpec = sheet_of(path, ScenarioSpec)
     where = ""
 
-    def time(text: str) -> int:
+    def parse_time(text: str) -> int:
         return figure(text, TIMES)
 
     try:
         where = "length"
-        length = time(sheet.length)
+        duration = parse_time(spec.length)
         where = "fleet"
-        if not 0 < sheet.fleet.balancers <= MOST_BALANCERS:
-            raise ValueError(f"{sheet.fleet.balancers} balancers, 1 to {MOST_BALANCERS} are possible")
-        for at, servers in enumerate(sheet.servers):
-            where = f"servers[{at}]"
-            time(servers.work)
+        if not 0 < spec.fleet.balancers <= MAX_BALANCERS:
+            raise ValueError(f"balancers is {spec.fleet.balancers}, must be 1 to {MAX_BALANCERS}")
+        for index, servers in enumerate(spec.servers):
+            where = f"servers[{index}]"
+            parse_time(servers.work)
             if servers.count < 1 or servers.limit < 0:
-                raise ValueError("a count under 1, or a limit below zero")
+                raise ValueError("count must be at least 1 and limit must not be negative")
         where = "list_service"
-        if sheet.list_service.capacity:
-            figure(sheet.list_service.capacity, RATES)
-        if not 0 <= sheet.list_service.refusal_cost <= 1:
-            raise ValueError("refusal_cost is a part, 0 to 1")
-        for at, clients in enumerate(sheet.clients):
-            where = f"clients[{at}]"
+        if spec.list_service.capacity:
+            figure(spec.list_service.capacity, RATES)
+        if not 0 <= spec.list_service.refusal_cost <= 1:
+            raise ValueError("refusal_cost must be between 0 and 1")
+        for index, clients in enumerate(spec.clients):
+            where = f"clients[{index}]"
             figure(clients.rate, RATES)
-            time(clients.life), time(clients.deadline)
+            parse_time(clients.life), parse_time(clients.deadline)
         faults = []
-        for at, one in enumerate(sheet.broken):
-            where = f"broken[{at}]"
-            faults += as_faults(one)
-        deeds = []
-        for at, deed in enumerate(sheet.deeds):
-            where = f"deeds[{at}]"
-            if not deed.who and not deed.what.startswith("list"):
-                raise ValueError(f"{deed.what!r} names nobody")
-            deeds.append((time(deed.at), deed))
+        for index, fault_spec in enumerate(spec.broken):
+            where = f"broken[{index}]"
+            faults += to_faults(fault_spec)
+        actions = []
+        for index, action in enumerate(spec.deeds):
+            where = f"deeds[{index}]"
+            if not action.who and not action.what.startswith("list"):
+                raise ValueError(f"{action.what!r} needs `who`")
+            actions.append((parse_time(action.at), action))
         where = "agree_within"
-        agree = time(sheet.agree_within) if sheet.agree_within else 0
+        agreement_timeout = parse_time(spec.agree_within) if spec.agree_within else 0
         where = "grace"
-        grace = time(sheet.grace)
-    except ValueError as why:
-        raise Unfit(f"{path}: {where}: {why}") from None
-    return Scenario(sheet, length, faults, sorted(deeds, key=lambda one: one[0]), agree, grace)
-
-
-def as_faults(one: Broken) -> list[Fault]:
-    if not all(0 <= part <= 1 for part in (one.lose, one.repeat, one.garble)):
-        raise ValueError("lose, repeat and garble are parts, 0 to 1")
-    since = figure(one.at, TIMES)
-    more = {
-        "cut": one.cut,
-        "delay": figure(one.delay, TIMES) if one.delay else 0,
-        "spread": figure(one.spread, TIMES) if one.spread else 0,
-        "lose": one.lose,
-        "repeat": one.repeat,
-        "garble": one.garble,
+        drain_grace = parse_time(spec.grace)
+    except ValueError as error:
+        raise Unfit(f"{path}: {where}: {error}") from None
+    return Scenario(
+        spec, duration, faults, sorted(actions, key=lambda timed: timed[0]), agreement_timeout, drain_grace
+    )
+
+
+def to_faults(spec: FaultSpec) -> list[Fault]:
+    """Converts one entry of the file to one fault per direction. Raises ValueError."""
+    if not all(0 <= probability <= 1 for probability in (spec.lose, spec.repeat, spec.garble)):
+        raise ValueError("lose, repeat and garble must be between 0 and 1")
+    since = figure(spec.at, TIMES)
+    effects = {
+        "cut": spec.cut,
+        "delay": figure(spec.delay, TIMES) if spec.delay else 0,
+        "spread": figure(spec.spread, TIMES) if spec.spread else 0,
+        "lose": spec.lose,
+        "repeat": spec.repeat,
+        "garble": spec.garble,
     }
-    if not any(more.values()):
-        raise ValueError("nothing is broken")
-    until = since + figure(one.lasts, TIMES)
-    first, second = one.between
-    ways = [(first, second)] if one.one_way else [(first, second), (second, first)]
-    return [Fault(since, until, source, target, **more) for source, target in ways]
+    if not any(effects.values()):
+        raise ValueError("the entry has no effect")
+    until = since + figure(spec.lasts, TIMES)
+    first, second = spec.between
+    directions = [(first, second)] if spec.one_way else [(first, second), (second, first)]
+    return [Fault(since, until, source, target, **effects) for source, target in directions]
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -1,7 +1,8 @@
-"""Where a play takes place: balancers with the stand-ins round them, in virtual time or as real processes.
+"""Testbeds: balancers among stand-ins for everything they talk to, in virtual time or as real processes.
 
-Both worlds give the same calls, so that one scenario is played in either. Names of the parties, by which
-faults are stated: `b0`, `b1`, ... balancers, `list`, servers by their ids, `clients`.
+Both testbeds have the same interface, so that a scenario runs on either. Faults refer to the parties by name:
+`b0`, `b1`, ... are balancers, `list` is the list service, servers go by their ids, and `clients` is all
+clients. Times are integers in tenths of a millisecond.
 """
 
 import contextlib
@@ -29,178 +30,186 @@
 from ..peers.stated import Stated, spelt
 from ..peers.stated import read as read_peers
 from ..peers.words import Came, Event, Send, Tick
-from .faults import Faults
+from .faults import FaultInjector
 from .records import Record
 from .standins import Crowd, Door, Listed, ListService, Server
 from .talk import stated
-from .world import Machine, World
+from .world import Machine, VirtualNetwork
 
 SECOND = 10_000
 MS = 10
-KEY = "00112233445566778899aabbccddeeff"
-LOOK_EVERY = 200  # at what processes wrote, in real time
-READY_WITHIN = 60 * SECOND
+SHARED_KEY = "00112233445566778899aabbccddeeff"  # of the peers
+LOG_POLL_INTERVAL = 200  # how often the logs of processes are read while waiting, in real time
+START_TIMEOUT = 60 * SECOND
 
 
-class Stage:
-    """What both worlds share. `settings` is the deployment's object as a balancer is told it."""
+class BaseTestbed:
+    """The common part of both testbeds. `settings` is the deployment object that balancers are given."""
 
-    def __init__(self, loop: Loop, seed: int, settings: dict, peers: dict | None) -> None:
+    def __init__(self, loop: Loop, seed: int, settings: dict, peers_options: dict | None) -> None:
         self.loop = loop
         self.begin = loop.now()
         self.record = Record(lambda: loop.now() - self.begin)
         self.settings = settings
-        self.peers = peers  # entries of the file of settings for peers, or None: off
-        self.faults = Faults(seed)
-        self.list = ListService(loop, self.record, self.address_for)
+        self.peers_options = peers_options  # entries of the peers settings file; None: no peers
+        self.faults = FaultInjector(seed)
+        self.list_service = ListService(loop, self.record, self.server_address_for)
         self.servers: dict[str, Server] = {}
-        self.known: list[Listed] = []  # told to balancers as the list of before
-        self.crowds: list[Crowd] = []
-        self.alive: set[str] = set()
+        self.known_servers: list[Listed] = []  # given to balancers as their last known list
+        self.client_groups: list[Crowd] = []
+        self.alive: set[str] = set()  # balancers that run and were not told to stop
 
     def now(self) -> int:
+        """Returns the time since the start of the run."""
         return self.loop.now() - self.begin
 
-    def add_server(self, ident: str, **more: int) -> Server:
-        server = self.servers[ident] = Server(self.loop, self.record, ident, **more)
+    def add_server(self, server_id: str, **options: int) -> Server:
+        server = self.servers[server_id] = Server(self.loop, self.record, server_id, **options)
         self.open_server(server)
         return server
 
-    def add_crowd(self, seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int) -> Crowd:
-        crowd = Crowd(self.loop, self.record, self.doors, seed, rate, life, classes, deadline)
-        self.crowds.append(crowd)
-        crowd.start()
-        return crowd
+    def add_clients(
+        self, seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int
+    ) -> Crowd:
+        clients = Crowd(self.loop, self.record, self.client_endpoints, seed, rate, life, classes, deadline)
+        self.client_groups.append(clients)
+        clients.start()
+        return clients
 
-    def doors(self) -> list[tuple[str, tuple[str, int]]]:
-        """Where a front would send clients now: balancers that run and were not told to stop."""
-        return [(name, self.door(name)) for name in sorted(self.alive)]
+    def client_endpoints(self) -> list[tuple[str, tuple[str, int]]]:
+        """Returns where a front load balancer would send clients now: the balancers in `alive`."""
+        return [(name, self.client_address(name)) for name in sorted(self.alive)]
 
-    def config(self, name: str, seed: int) -> dict:
+    def balancer_config(self, name: str, seed: int) -> dict:
         return {
             "name": name,
-            "listen": spelt(self.listen_at(name)),
-            "discovery": spelt(self.list_at(name)),
+            "listen": spelt(self.listen_address(name)),
+            "discovery": spelt(self.list_address(name)),
             "seed": f"{seed:x}",
             "settings": self.settings,
             "known": {
                 "version": 1,
                 "servers": [
-                    msgspec.structs.asdict(one) | {"addr": self.address_for(one.id, name)}
-                    for one in self.known
+                    msgspec.structs.asdict(listed) | {"addr": self.server_address_for(listed.id, name)}
+                    for listed in self.known_servers
                 ],
             },
             "limits": {"sockets": 1024},
         }
 
-    # Of each world
+    # Implemented by each testbed
 
     def open_server(self, server: Server) -> None:
+        """Makes a server listen at its address."""
         raise NotImplementedError
 
-    def started(self, *names: str) -> None:
-        """Returns once all of these take clients in."""
+    def wait_until_started(self, *names: str) -> None:
+        """Returns once all of these balancers accept clients."""
         raise NotImplementedError
 
-    def address_for(self, server: str, balancer: str) -> str:
+    def server_address_for(self, server: str, balancer: str) -> str:
+        """Returns the address at which that balancer reaches the server."""
         raise NotImplementedError
 
-    def listen_at(self, name: str) -> tuple[str, int]:
+    def listen_address(self, name: str) -> tuple[str, int]:
         raise NotImplementedError
 
-    def list_at(self, name: str) -> tuple[str, int]:
+    def list_address(self, name: str) -> tuple[str, int]:
+        """Returns the address at which that balancer reaches the list service."""
         raise NotImplementedError
 
-    def door(self, name: str) -> tuple[str, int]:
+    def client_address(self, name: str) -> tuple[str, int]:
+        """Returns the address at which clients reach that balancer."""
         raise NotImplementedError
 
-    def run(self, span: int) -> None:
+    def run(self, duration: int) -> None:
         raise NotImplementedError
 
-    def run_until(self, done: Callable[[], bool], within: int) -> bool:
+    def run_until(self, condition: Callable[[], bool], timeout: int) -> bool:
+        """Returns whether the condition came true before the timeout."""
         raise NotImplementedError
 
 
-class Virtual(Stage):
-    """In one process, on the world's clock. The same seed and calls give the same record, to the byte."""
+class VirtualTestbed(BaseTestbed):
+    """Runs in one process in virtual time. The same seed and calls give a byte-identical record."""
 
-    def __init__(self, seed: int, settings: dict, peers: dict | None = None, delay: int = 5) -> None:
-        self.world = World(delay_ns=delay * 100_000)
-        self.chance = random.Random(seed)
-        self.ground = Machine(self.world, "10.2.0.1")  # of all stand-ins, under several hosts
-        loop = Loop(self.fault, 1 << 24, self.ground)
+    def __init__(self, seed: int, settings: dict, peers_options: dict | None = None, delay: int = 5) -> None:
+        self.network = VirtualNetwork(delay_ns=delay * 100_000)
+        self.rng = random.Random(seed)
+        self.stand_in_machine = Machine(self.network, "10.2.0.1")  # runs all stand-ins, on several hosts
+        loop = Loop(self.handle_fault, 1 << 24, self.stand_in_machine)
         loop.running = True
-        self.world.loops.append(loop)
-        super().__init__(loop, seed, settings, peers)
-        self.world.faults = self.faults
-        self.world.names |= {"10.2.0.1": "list", "10.3.0.1": "clients"}
+        self.network.loops.append(loop)
+        super().__init__(loop, seed, settings, peers_options)
+        self.network.faults = self.faults
+        self.network.host_names |= {"10.2.0.1": "list", "10.3.0.1": "clients"}
         self.machines: dict[str, Machine] = {}
         self.services: dict[str, Service] = {}
         self.carriers: dict[str, Carrier] = {}
-        self.by_host: dict[str, str] = {}
+        self.names_by_host: dict[str, str] = {}
         self.hosts: dict[str, str] = {}
 
     @staticmethod
-    def fault(error: BaseException) -> None:
+    def handle_fault(error: BaseException) -> None:
         raise error
 
-    def host(self, name: str) -> str:
-        """A balancer's or a server's, in the order in which they are asked for."""
+    def host_of(self, name: str) -> str:
+        """Returns the host of a balancer or server; hosts are assigned in the order of first use."""
         if name not in self.hosts:
-            at = len(self.hosts)
+            index = len(self.hosts)
             net = 0 if name in self.servers else 1
-            self.hosts[name] = f"10.{10 + net}.{at // 250}.{at % 250 + 1}"
-            self.world.names[self.hosts[name]] = name
+            self.hosts[name] = f"10.{10 + net}.{index // 250}.{index % 250 + 1}"
+            self.network.host_names[self.hosts[name]] = name
         return self.hosts[name]
 
     def open_server(self, server: Server) -> None:
-        server.listen((self.host(server.ident), 8000), lambda source: self.world.name_of(source[0]))
+        server.listen((self.host_of(server.ident), 8000), lambda source: self.network.name_of(source[0]))
 
-    def address_for(self, server: str, balancer: str) -> str:
-        return f"{self.host(server)}:8000"
+    def server_address_for(self, server: str, balancer: str) -> str:
+        return f"{self.host_of(server)}:8000"
 
-    def listen_at(self, name: str) -> tuple[str, int]:
-        return self.host(name), 8000
+    def listen_address(self, name: str) -> tuple[str, int]:
+        return self.host_of(name), 8000
 
-    door = listen_at
+    client_address = listen_address
 
-    def list_at(self, name: str) -> tuple[str, int]:
+    def list_address(self, name: str) -> tuple[str, int]:
         port = 10_000 + int(name[1:])
-        if name not in self.list.doors:
-            self.list.open_for(name, ("10.2.0.1", port))
+        if name not in self.list_service.doors:
+            self.list_service.open_for(name, ("10.2.0.1", port))
         return "10.2.0.1", port
 
-    def peers_stated(self, name: str) -> Stated:
-        here = (self.host(name), 7946)
-        join = tuple(f"{self.host(f'b{at}')}:7946" for at in range(3))
-        own = {"listen": here, "advertise": spelt(here), "keys": (bytes.fromhex(KEY),)}
-        return stated(0, join, **(self.peers | own))
+    def peers_settings(self, name: str) -> Stated:
+        address = (self.host_of(name), 7946)
+        join = tuple(f"{self.host_of(f'b{index}')}:7946" for index in range(3))
+        own = {"listen": address, "advertise": spelt(address), "keys": (bytes.fromhex(SHARED_KEY),)}
+        return stated(0, join, **(self.peers_options | own))
 
     def start(self, name: str) -> None:
-        machine = self.machines[name] = Machine(self.world, self.host(name))
-        config = orjson.dumps(self.config(name, self.chance.getrandbits(60)))
+        machine = self.machines[name] = Machine(self.network, self.host_of(name))
+        config = orjson.dumps(self.balancer_config(name, self.rng.getrandbits(60)))
         told = msgspec.json.decode(config, type=Told)
-        here, there = self.listen_at(name), self.list_at(name)
-        start = Start("none", told, here, there, int(told.seed, 16))
+        listen, discovery = self.listen_address(name), self.list_address(name)
+        start = Start("none", told, listen, discovery, int(told.seed, 16))
         service = self.services[name] = Service(start, machine)
         service.open()
         service.loop.running = True
-        self.world.loops.append(service.loop)
-        if self.peers is not None:
-            self.carriers[name] = Carrier(service, self.peers_stated(name), machine, name, start.seed)
+        self.network.loops.append(service.loop)
+        if self.peers_options is not None:
+            self.carriers[name] = Carrier(service, self.peers_settings(name), machine, name, start.seed)
         self.alive.add(name)
         self.record.note("started", balancer=name)
 
-    def started(self, *names: str) -> None:
-        """They do as soon as they are started."""
+    def wait_until_started(self, *names: str) -> None:
+        """Does nothing: in virtual time a balancer accepts clients as soon as `start` returns."""
 
     def kill(self, name: str) -> None:
         self.alive.discard(name)
         self.record.note("killed", balancer=name)
         loop = self.services[name].loop
-        self.world.loops.remove(loop)
-        self.world.frozen.discard(loop)
-        self.machines[name].die()
+        self.network.loops.remove(loop)
+        self.network.frozen_loops.discard(loop)
+        self.machines[name].crash()
 
     def stop(self, name: str) -> None:
         self.alive.discard(name)
@@ -209,420 +218,442 @@
 
     def freeze(self, name: str) -> None:
         self.record.note("frozen", balancer=name)
-        self.world.frozen.add(self.services[name].loop)
+        self.network.frozen_loops.add(self.services[name].loop)
 
     def wake(self, name: str) -> None:
         self.record.note("woken", balancer=name)
-        self.world.frozen.discard(self.services[name].loop)
+        self.network.frozen_loops.discard(self.services[name].loop)
 
-    def run(self, span: int) -> None:
-        self.world.run(span * 100_000)
+    def run(self, duration: int) -> None:
+        self.network.run(duration * 100_000)
 
-    def run_until(self, done: Callable[[], bool], within: int) -> bool:
-        end = self.now() + within
-        while not done():
+    def run_until(self, condition: Callable[[], bool], timeout: int) -> bool:
+        end = self.now() + timeout
+        while not condition():
             if self.now() >= end:
                 return False
             self.run(SECOND // 10)
         return True
 
     def log(self, name: str) -> list[dict]:
-        return [orjson.loads(line) for line in self.machines[name].lines]
+        return [orjson.loads(line) for line in self.machines[name].log_lines]
 
     def close(self) -> None:
         pass
 
 
 class Pipe(Connection):
-    """One end of a stream through the relay; passes bytes on to the other as the faults let them."""
+    """One end of a relayed stream; forwards its bytes to the other end as the faults allow."""
 
-    def __init__(self, relay: "Relay", sock: object, source: str, target: str) -> None:
-        super().__init__(relay.stage.loop, sock)
+    def __init__(self, relay: "StreamRelay", sock: object, source: str, target: str) -> None:
+        super().__init__(relay.testbed.loop, sock)
         self.relay = relay
-        self.source = source  # of what is read here
+        self.source = source  # sends what is read here
         self.target = target
-        self.other: Pipe | None = None
-        self.held: deque[tuple[int, bytes]] = deque()  # b"" is the end of the sending
-        self.due_out = False
+        self.other_end: Pipe | None = None
+        self.queue: deque[tuple[int, bytes]] = deque()  # (when due, data); b"" is the end of the stream
+        self.is_forward_scheduled = False
 
     def on_bytes(self, count: int) -> None:
-        self.hold(self.inbound.take())
+        self.enqueue(self.inbound.take())
 
     def on_end(self) -> None:
-        self.hold(b"")
-
-    def hold(self, data: bytes) -> None:
-        stage = self.relay.stage
-        wait = stage.faults.delay(stage.now(), self.source, self.target)
-        self.held.append((stage.now() + wait, data))
-        self.pass_on()
-
-    def pass_on(self) -> None:
-        self.due_out = False
-        stage, other = self.relay.stage, self.other
-        while self.held and other.open:
-            due, data = self.held[0]
-            wait = due - stage.now()
-            if wait <= 0 and stage.faults.is_cut(stage.now(), self.source, self.target):
+        self.enqueue(b"")
+
+    def enqueue(self, data: bytes) -> None:
+        testbed = self.relay.testbed
+        delay = testbed.faults.stream_delay(testbed.now(), self.source, self.target)
+        self.queue.append((testbed.now() + delay, data))
+        self.forward()
+
+    def forward(self) -> None:
+        """Writes what is due to the other end; closes both once both directions have ended."""
+        self.is_forward_scheduled = False
+        testbed, other_end = self.relay.testbed, self.other_end
+        while self.queue and other_end.open:
+            due, data = self.queue[0]
+            wait = due - testbed.now()
+            if wait <= 0 and testbed.faults.is_cut(testbed.now(), self.source, self.target):
                 wait = 50 * MS
             if wait > 0:
-                self.due_out = True
-                self.loop.after(wait, self.pass_on)
+                self.is_forward_scheduled = True
+                self.loop.after(wait, self.forward)
                 return
-            if data and not other.outbound.put(data):
-                self.due_out = True
-                self.loop.after(MS, self.pass_on)
+            if data and not other_end.outbound.put(data):
+                self.is_forward_scheduled = True
+                self.loop.after(MS, self.forward)
                 return
-            self.held.popleft()
+            self.queue.popleft()
             if data:
-                other.flush()
+                other_end.flush()
             else:
-                other.end_sending()
+                other_end.end_sending()
         if (
             self.heard_end
-            and other.heard_end
-            and not self.held
-            and not other.held
-            and not other.outbound.held
+            and other_end.heard_end
+            and not self.queue
+            and not other_end.queue
+            and not other_end.outbound.held
         ):
             self.close()
-            other.close()
+            other_end.close()
 
     def on_emptied(self) -> None:
-        if self.other is not None and self.other.heard_end and not self.other.due_out:
-            self.other.pass_on()
+        if (
+            self.other_end is not None
+            and self.other_end.heard_end
+            and not self.other_end.is_forward_scheduled
+        ):
+            self.other_end.forward()
 
     def on_broken(self) -> None:
+        """Resets the other end; while the way to it is cut, the reset is delayed."""
         self.close()
-        other = self.other
-        if other is not None and other.open:
-            stage = self.relay.stage
-            if stage.faults.is_cut(stage.now(), self.source, self.target):
+        other_end = self.other_end
+        if other_end is not None and other_end.open:
+            testbed = self.relay.testbed
+            if testbed.faults.is_cut(testbed.now(), self.source, self.target):
                 self.loop.after(50 * MS, self.on_broken)
             else:
-                other.close(reset=True)
+                other_end.close(reset=True)
 
 
-class Relay:
-    """A door for one directed pair that leads to another address, through the faults between the two."""
+class StreamRelay:
+    """Listens on behalf of one party for another and forwards each connection through the faults."""
 
-    def __init__(self, stage: "Processes", source: str, target: str, to: tuple[str, int]) -> None:
-        self.stage = stage
+    def __init__(
+        self, testbed: "ProcessTestbed", source: str, target: str, destination: tuple[str, int]
+    ) -> None:
+        self.testbed = testbed
         self.source = source
         self.target = target
-        self.to = to
-        self.door = Door(stage.loop, ("127.0.0.1", 0), self.take)
+        self.destination = destination
+        self.listener = Door(testbed.loop, ("127.0.0.1", 0), self.accept)
 
-    def take(self, sock: object, source: tuple[str, int]) -> None:
+    def accept(self, sock: object, source: tuple[str, int]) -> None:
         near = Pipe(self, sock, self.source, self.target)
-        far = Pipe(self, self.stage.loop.system.stream(), self.target, self.source)
-        near.other, far.other = far, near
-        if far.connect(self.to):
+        far = Pipe(self, self.testbed.loop.system.stream(), self.target, self.source)
+        near.other_end, far.other_end = far, near
+        if far.connect(self.destination):
             far.on_broken()
             return
-        self.stage.sources[far.sock.getsockname()] = self.source
+        self.testbed.source_names[far.sock.getsockname()] = self.source
         far.await_more()
         near.await_more()
 
 
 class DatagramRelay:
-    """Under which one balancer is reached by the others; who sends is told by where it comes from."""
+    """The address at which one balancer is reached by the others; identifies senders by source address."""
 
-    def __init__(self, stage: "Processes", target: str, to: tuple[str, int]) -> None:
-        self.stage = stage
+    def __init__(self, testbed: "ProcessTestbed", target: str, destination: tuple[str, int]) -> None:
+        self.testbed = testbed
         self.target = target
-        self.to = to
-        self.sock = stage.loop.system.datagram(("127.0.0.1", 0))
+        self.destination = destination
+        self.sock = testbed.loop.system.datagram(("127.0.0.1", 0))
         self.sock.setblocking(False)
-        stage.loop.watch(self.sock, 0, READ, self)
+        testbed.loop.watch(self.sock, 0, READ, self)
 
     def ready(self, mask: int) -> None:
-        stage = self.stage
+        testbed = self.testbed
         while True:
             try:
                 data, source = self.sock.recvfrom(65536)
             except BlockingIOError:
                 return
-            name = stage.datagram_names.get(source, "?")
-            stage.datagram_bytes[name] = stage.datagram_bytes.get(name, 0) + len(data)
-            for wait, copy in stage.faults.fates(stage.now(), name, self.target, data):
+            name = testbed.datagram_source_names.get(source, "?")
+            testbed.datagram_bytes[name] = testbed.datagram_bytes.get(name, 0) + len(data)
+            for wait, copy in testbed.faults.deliveries(testbed.now(), name, self.target, data):
                 if wait:
-                    stage.loop.after(wait, lambda copy=copy: self.send(copy))
+                    testbed.loop.after(wait, lambda copy=copy: self.send(copy))
                 else:
                     self.send(copy)
 
     def send(self, data: bytes) -> None:
         with contextlib.suppress(OSError):
-            self.sock.sendto(data, self.to)
+            self.sock.sendto(data, self.destination)
 
 
-class Processes(Stage):
-    """Real daemons on loopback; every way between two parties leads through a relay here.
+class ProcessTestbed(BaseTestbed):
+    """Runs real daemons on loopback; all traffic between two parties goes through a relay in this process.
 
-    A way cut for a stream is silent: the connection to the relay still comes up, what is written on it waits.
-    Nothing is left running or on disk after `close`.
+    While the way of a stream is cut, connections to the relay still succeed and what is written waits.
+    `close` ends all processes and removes all files.
     """
 
-    def __init__(self, seed: int, settings: dict, peers: dict | None = None) -> None:
+    def __init__(self, seed: int, settings: dict, peers_options: dict | None = None) -> None:
         self.system = System()
-        super().__init__(Loop(self.fault, 1 << 20, self.system), seed, settings, peers)
-        self.chance = random.Random(seed)
-        self.folder = tempfile.TemporaryDirectory(prefix="thymedeck-lab-")
-        self.path = Path(self.folder.name)
-        self.running: dict[str, subprocess.Popen] = {}
-        self.relays: dict[tuple[str, str], Relay] = {}
-        self.server_at: dict[str, tuple[str, int]] = {}
-        self.balancer_at: dict[str, tuple[str, int]] = {}
-        self.sources: dict[tuple[str, int], str] = {}
+        super().__init__(Loop(self.handle_fault, 1 << 20, self.system), seed, settings, peers_options)
+        self.rng = random.Random(seed)
+        self.temporary_directory = tempfile.TemporaryDirectory(prefix="thymedeck-lab-")
+        self.directory = Path(self.temporary_directory.name)
+        self.processes: dict[str, subprocess.Popen] = {}
+        self.stream_relays: dict[tuple[str, str], StreamRelay] = {}
+        self.server_addresses: dict[str, tuple[str, int]] = {}
+        self.balancer_addresses: dict[str, tuple[str, int]] = {}
+        self.source_names: dict[tuple[str, int], str] = {}  # by the local address of a relay's connection
         self.datagram_relays: dict[str, DatagramRelay] = {}
-        self.datagram_names: dict[tuple[str, int], str] = {}
-        self.datagram_bytes: dict[str, int] = {}
-        self.lines: dict[str, list[dict]] = {}
-        self.parts: dict[str, tuple[int, bytes]] = {}
+        self.datagram_source_names: dict[tuple[str, int], str] = {}
+        self.datagram_bytes: dict[str, int] = {}  # sent, by sender
+        self.log_entries: dict[str, list[dict]] = {}
+        self.log_positions: dict[str, tuple[int, bytes]] = {}  # bytes read, and the incomplete last line
         self.errors: list[BaseException] = []
-        # A host of its own: no connection that the system gives a port to takes one of those from there.
+        # A loopback host of its own, so that the system never assigns one of these ports to a connection.
         self.host = f"127.{os.getpid() % 250 + 1}.{os.urandom(1)[0]}.{os.urandom(1)[0] % 254 + 1}"
         self.port = 20_000
 
-    def fault(self, error: BaseException) -> None:
+    def handle_fault(self, error: BaseException) -> None:
         self.errors.append(error)
 
     def open_server(self, server: Server) -> None:
-        self.server_at[server.ident] = server.listen(
-            self.server_at.get(server.ident) or self.free_port(), lambda source: self.sources.pop(source, "?")
+        self.server_addresses[server.ident] = server.listen(
+            self.server_addresses.get(server.ident) or self.unused_address(),
+            lambda source: self.source_names.pop(source, "?"),
         )
 
-    def way(self, source: str, target: str, to: tuple[str, int]) -> tuple[str, int]:
-        if (source, target) not in self.relays:
-            self.relays[source, target] = Relay(self, source, target, to)
-        return self.relays[source, target].door.address
+    def relay_address(self, source: str, target: str, destination: tuple[str, int]) -> tuple[str, int]:
+        if (source, target) not in self.stream_relays:
+            self.stream_relays[source, target] = StreamRelay(self, source, target, destination)
+        return self.stream_relays[source, target].listener.address
 
-    def address_for(self, server: str, balancer: str) -> str:
-        # One that nobody opened yet gets a port at which nothing listens.
-        to = self.server_at.get(server) or self.server_at.setdefault(server, self.free_port())
-        return spelt(self.way(balancer, server, to))
+    def server_address_for(self, server: str, balancer: str) -> str:
+        # A server that was never opened gets an address at which nothing listens.
+        destination = self.server_addresses.get(server) or self.server_addresses.setdefault(
+            server, self.unused_address()
+        )
+        return spelt(self.relay_address(balancer, server, destination))
 
-    def free_port(self) -> tuple[str, int]:
+    def unused_address(self) -> tuple[str, int]:
         self.port += 1
         return self.host, self.port
 
-    def listen_at(self, name: str) -> tuple[str, int]:
-        if name not in self.balancer_at:
-            self.balancer_at[name] = self.free_port()
-        return self.balancer_at[name]
-
-    def door(self, name: str) -> tuple[str, int]:
-        return self.way("clients", name, self.listen_at(name))
-
-    def list_at(self, name: str) -> tuple[str, int]:
-        if name not in self.list.doors:
-            self.list.open_for(name, ("127.0.0.1", 0))
-        return self.way(name, "list", self.list.doors[name].address)
-
-    def write_peers(self, name: str) -> Path:
-        """The relays for datagrams stand before their balancers, under addresses that stay."""
-        for one in ("b0", "b1", "b2", name):
-            if one not in self.datagram_relays:
-                to = self.free_port()
-                self.datagram_relays[one] = DatagramRelay(self, one, to)
-                self.datagram_names[to] = one
+    def listen_address(self, name: str) -> tuple[str, int]:
+        if name not in self.balancer_addresses:
+            self.balancer_addresses[name] = self.unused_address()
+        return self.balancer_addresses[name]
+
+    def client_address(self, name: str) -> tuple[str, int]:
+        return self.relay_address("clients", name, self.listen_address(name))
+
+    def list_address(self, name: str) -> tuple[str, int]:
+        if name not in self.list_service.doors:
+            self.list_service.open_for(name, ("127.0.0.1", 0))
+        return self.relay_address(name, "list", self.list_service.doors[name].address)
+
+    def write_peers_file(self, name: str) -> Path:
+        """Writes the peers settings; creates datagram relays, whose addresses outlive balancer restarts."""
+        for balancer in ("b0", "b1", "b2", name):
+            if balancer not in self.datagram_relays:
+                destination = self.unused_address()
+                self.datagram_relays[balancer] = DatagramRelay(self, balancer, destination)
+                self.datagram_source_names[destination] = balancer
         relay = self.datagram_relays[name]
-        given = {
+        entries = {
             "fleet": "lab",
-            "listen": spelt(relay.to),
+            "listen": spelt(relay.destination),
             "advertise": spelt(relay.sock.getsockname()),
             "key_file": "peers.key",
-            "join": [spelt(self.datagram_relays[one].sock.getsockname()) for one in ("b0", "b1", "b2")],
+            "join": [
+                spelt(self.datagram_relays[balancer].sock.getsockname()) for balancer in ("b0", "b1", "b2")
+            ],
             "answer_within": "300 ms",
         }
         text = "".join(
-            f"{key} = {orjson.dumps(value).decode()}\n" for key, value in (given | self.peers).items()
+            f"{key} = {orjson.dumps(value).decode()}\n"
+            for key, value in (entries | self.peers_options).items()
         )
-        path = self.path / f"{name}.peers.toml"
+        path = self.directory / f"{name}.peers.toml"
         path.write_text(text)
         return path
 
-    def write_keys(self, *keys: str) -> None:
-        path = self.path / "peers.key"
+    def write_key_file(self, *keys: str) -> None:
+        path = self.directory / "peers.key"
         path.touch(mode=0o600)
         path.write_text("".join(f"{key}\n" for key in keys))
 
-    def start(self, name: str, called: str = "") -> None:
-        """`called`: the name that it is told, if that is another's."""
-        config = self.path / f"{name}.json"
-        told = self.config(name, self.chance.getrandbits(60)) | {"name": called or name}
-        config.write_bytes(orjson.dumps(told))
-        call = [sys.executable, "-m", "thymedeck", "serve", "--config", config]
-        if self.peers is not None:
-            if not (self.path / "peers.key").exists():
-                self.write_keys(KEY)
-            call += ["--peers", self.write_peers(name)]
-        log = self.path / f"{name}.log"
-        with log.open("ab") as out:
-            self.running[name] = subprocess.Popen(call, stdout=out, stderr=out, cwd=Path(__file__).parents[2])
-        self.lines.setdefault(name, [])
-        self.parts.setdefault(name, (0, b""))
+    def start(self, name: str, configured_name: str = "") -> None:
+        """`configured_name`: the name in its configuration, if it differs from `name`."""
+        config = self.directory / f"{name}.json"
+        content = self.balancer_config(name, self.rng.getrandbits(60)) | {"name": configured_name or name}
+        config.write_bytes(orjson.dumps(content))
+        command = [sys.executable, "-m", "thymedeck", "serve", "--config", config]
+        if self.peers_options is not None:
+            if not (self.directory / "peers.key").exists():
+                self.write_key_file(SHARED_KEY)
+            command += ["--peers", self.write_peers_file(name)]
+        log = self.directory / f"{name}.log"
+        with log.open("ab") as output:
+            self.processes[name] = subprocess.Popen(
+                command, stdout=output, stderr=output, cwd=Path(__file__).parents[2]
+            )
+        self.log_entries.setdefault(name, [])
+        self.log_positions.setdefault(name, (0, b""))
         self.record.note("started", balancer=name)
 
     def read_logs(self) -> None:
-        for name in self.lines:
-            at, part = self.parts[name]
-            with (self.path / f"{name}.log").open("rb") as file:
-                file.seek(at)
+        """Reads what was added to the logs. A line that is not JSON becomes an entry of the event `text`."""
+        for name in self.log_entries:
+            position, partial_line = self.log_positions[name]
+            with (self.directory / f"{name}.log").open("rb") as file:
+                file.seek(position)
                 new = file.read()
-            *whole, rest = (part + new).split(b"\n")
-            self.parts[name] = (at + len(new), rest)
-            for line in whole:
+            *lines, rest = (partial_line + new).split(b"\n")
+            self.log_positions[name] = (position + len(new), rest)
+            for line in lines:
                 entry = (
                     orjson.loads(line) if line.startswith(b"{") else {"event": "text", "text": line.decode()}
                 )
-                self.lines[name].append(entry)
+                self.log_entries[name].append(entry)
                 if entry["event"] == "started":
                     self.alive.add(name)
 
-    def started(self, *names: str) -> None:
-        """Raises TimeoutError unless all of these take clients in."""
-        if not self.run_until(lambda: set(names) <= self.alive, READY_WITHIN):
-            raise TimeoutError(f"not started: {sorted(set(names) - self.alive)}")
+    def wait_until_started(self, *names: str) -> None:
+        """Raises TimeoutError unless all of these accept clients in time."""
+        if not self.run_until(lambda: set(names) <= self.alive, START_TIMEOUT):
+            raise TimeoutError(f"balancers did not start: {sorted(set(names) - self.alive)}")
 
-    def bring_up(self, balancers: int) -> list[str]:
-        """So many, with one server that the list names; returns their names once they take clients in."""
-        names = [f"b{at}" for at in range(balancers)]
+    def start_fleet(self, balancers: int) -> list[str]:
+        """Starts that many balancers with one listed server; returns their names once they accept clients."""
+        names = [f"b{index}" for index in range(balancers)]
         self.add_server("s0")
-        self.known = [Listed("s0")]
-        self.list.set(*self.known)
+        self.known_servers = [Listed("s0")]
+        self.list_service.set(*self.known_servers)
         for name in names:
             self.start(name)
-        self.started(*names)
+        self.wait_until_started(*names)
         return names
 
-    def here(self, name: str) -> int:
-        """How many peers that balancer's log last told to be here."""
+    def live_peer_count(self, name: str) -> int:
+        """Returns how many live peers that balancer's log last reported."""
         for entry in reversed(self.log(name)):
             if entry["event"] == "peers" and entry["text"].startswith("peers: "):
                 return int(entry["text"].split()[1])
         return 0
 
-    def signal(self, name: str, which: signal.Signals) -> None:
-        self.running[name].send_signal(which)
+    def send_signal(self, name: str, number: signal.Signals) -> None:
+        self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
         self.alive.discard(name)
         self.record.note("killed", balancer=name)
-        self.signal(name, signal.SIGKILL)
-        self.running[name].wait()
+        self.send_signal(name, signal.SIGKILL)
+        self.processes[name].wait()
 
     def stop(self, name: str) -> None:
         self.alive.discard(name)
         self.record.note("stopped", balancer=name)
-        self.signal(name, signal.SIGTERM)
+        self.send_signal(name, signal.SIGTERM)
 
     def freeze(self, name: str) -> None:
         self.record.note("frozen", balancer=name)
-        self.signal(name, signal.SIGSTOP)
+        self.send_signal(name, signal.SIGSTOP)
 
     def wake(self, name: str) -> None:
         self.record.note("woken", balancer=name)
-        self.signal(name, signal.SIGCONT)
+        self.send_signal(name, signal.SIGCONT)
 
     def reload(self, name: str) -> None:
-        self.signal(name, signal.SIGHUP)
+        self.send_signal(name, signal.SIGHUP)
 
-    def run(self, span: int) -> None:
-        end = self.loop.now() + span
-        due = self.loop.after(span, lambda: None)
+    def run(self, duration: int) -> None:
+        """Raises the first error that a handler in this process raised."""
+        end = self.loop.now() + duration
+        timer = self.loop.after(duration, lambda: None)
         while self.loop.now() < end:
             self.loop.turn()
-        due.cancel()
+        timer.cancel()
         self.read_logs()
         if self.errors:
             raise self.errors[0]
 
-    def run_until(self, done: Callable[[], bool], within: int) -> bool:
-        end = self.now() + within
+    def run_until(self, condition: Callable[[], bool], timeout: int) -> bool:
+        end = self.now() + timeout
         self.read_logs()
-        while not done():
+        while not condition():
             if self.now() >= end:
                 return False
-            self.run(LOOK_EVERY)
+            self.run(LOG_POLL_INTERVAL)
         return True
 
     def log(self, name: str) -> list[dict]:
         self.read_logs()
-        return self.lines[name]
+        return self.log_entries[name]
 
     def close(self) -> None:
-        for process in self.running.values():
+        for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
-        for process in self.running.values():
+        for process in self.processes.values():
             process.wait()
-        for door in [
-            *self.list.doors.values(),
-            *(door for one in self.servers.values() for door in one.doors),
+        for listener in [
+            *self.list_service.doors.values(),
+            *(listener for server in self.servers.values() for listener in server.doors),
         ]:
-            door.close()
-        for relay in self.relays.values():
-            relay.door.close()
+            listener.close()
+        for relay in self.stream_relays.values():
+            relay.listener.close()
         for relay in self.datagram_relays.values():
             relay.sock.close()
         self.loop.selector.close()
-        self.folder.cleanup()
+        self.temporary_directory.cleanup()
 
-    def __enter__(self) -> "Processes":
+    def __enter__(self) -> "ProcessTestbed":
         return self
 
     def __exit__(self, *_: object) -> None:
         self.close()
 
 
-class Guest:
-    """A member of the fleet that the rig plays, from a socket of its own; also one that lies with the key."""
+class FakePeer:
+    """A member of the fleet that runs in this process on its own socket; it can also send hostile messages.
+
+    It has the shared key, so its messages are authentic whatever they claim.
+    """
 
-    def __init__(self, stage: Processes, name: str, key: str = KEY) -> None:
-        self.stage = stage
-        self.loop = stage.loop
-        self.sock = stage.system.datagram(("127.0.0.1", 0))
+    def __init__(self, testbed: ProcessTestbed, name: str, key: str = SHARED_KEY) -> None:
+        self.testbed = testbed
+        self.loop = testbed.loop
+        self.sock = testbed.system.datagram(("127.0.0.1", 0))
         self.sock.setblocking(False)
-        here = self.sock.getsockname()
-        stage.datagram_relays[name] = DatagramRelay(stage, name, here)
-        stage.datagram_names[here] = name
-        own = read_peers(str(stage.write_peers(name)))
+        address = self.sock.getsockname()
+        testbed.datagram_relays[name] = DatagramRelay(testbed, name, address)
+        testbed.datagram_source_names[address] = name
+        own = read_peers(str(testbed.write_peers_file(name)))
         self.envelope = Envelope(own.fleet, [bytes.fromhex(key)])
-        unix_ms = stage.system.time_ns() // 1_000_000
+        unix_ms = testbed.system.time_ns() // 1_000_000
         self.peers = Peers(own, name, 1, self.loop.now(), unix_ms, 1)
-        self.heard: list[Message] = []
-        self.newer = False  # sends what a later version might: more fields
+        self.received: list[Message] = []
+        self.sends_extra_fields = False  # as a later version of the protocol might
         self.loop.watch(self.sock, 0, READ, self)
         self.tick()
 
     def tick(self) -> None:
         if self.sock.fileno() >= 0:
             self.loop.after(TICK, self.tick)
-            self.tell(Tick())
+            self.handle_event(Tick())
 
-    def tell(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         for action in self.peers.handle(self.loop.now(), event):
             if isinstance(action, Send):
                 self.send(action.address, action.message)
 
-    def send(self, to: str, message: Message) -> None:
+    def send(self, address: str, message: Message) -> None:
         data = self.envelope.close(message)
-        if self.newer:
+        if self.sends_extra_fields:
             body = msgspec.msgpack.encode([*msgspec.msgpack.decode(encode(message)), {"newer": True}])
             data = self.envelope.digest(self.envelope.keys[0], body) + body
-        self.send_raw(to, data)
+        self.send_raw(address, data)
 
-    def send_raw(self, to: str, data: bytes) -> None:
+    def send_raw(self, address: str, data: bytes) -> None:
         with contextlib.suppress(OSError):
-            self.sock.sendto(data, server_address(to))
+            self.sock.sendto(data, server_address(address))
 
-    def say(self, peer: Peer, kind: Kind, name: str = "", **more: object) -> None:
-        """Whatever it likes, to one that it knows; also in another's name."""
+    def send_forged(self, peer: Peer, kind: Kind, name: str = "", **fields: object) -> None:
+        """Sends a message with any content to a known peer, also in the name of another member."""
         self.peers.counter += 1
-        given = (self.peers.incarnation, self.peers.counter)
+        identity = (self.peers.incarnation, self.peers.counter)
         self.send(
-            peer.address, Message(VERSION, kind, name or self.peers.name, *given, token=peer.token, **more)
+            peer.address,
+            Message(VERSION, kind, name or self.peers.name, *identity, token=peer.token, **fields),
         )
 
     def ready(self, mask: int) -> None:
@@ -633,8 +664,8 @@
                 return
             with contextlib.suppress(Unusable):
                 message = self.envelope.open(data)
-                self.heard.append(message)
-                self.tell(Came(message, len(data)))
+                self.received.append(message)
+                self.handle_event(Came(message, len(data)))
 
     def close(self) -> None:
         self.loop.watch(self.sock, READ, 0, self)
@@ -642,6 +673,6 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Processor time that a process has used so far, from the kernel's own count."""
+    """Returns the CPU time that a process has used so far, from /proc."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
--- a/thymedeck/lab/talk.py
+++ b/thymedeck/lab/talk.py
@@ -18,7 +18,7 @@
 from ..peers.node import TICK, Peer, Peers
 from ..peers.stated import Stated
 from ..peers.words import Came, Counted, Event, Leaving, Log, Send, Tick
-from .faults import Fault, Faults
+from .faults import Fault, FaultInjector
 
 SECOND = 10_000
 BEGIN = 1_000 * SECOND
@@ -68,7 +68,7 @@
 class Talk:
     def __init__(self, balancers: int, seed: int = 1, servers: int = 60, **more: object) -> None:
         self.chance = random.Random(seed)
-        self.faults = Faults(seed + 1)
+        self.faults = FaultInjector(seed + 1)
         self.now = BEGIN
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.count = 0
@@ -169,7 +169,7 @@
         there = self.at_address.get(to)
         if there is None:
             return
-        for delay, copy in self.faults.fates(self.now, source, self.nodes[there].name, data):
+        for delay, copy in self.faults.deliveries(self.now, source, self.nodes[there].name, data):
             self.after(delay + self.chance.randrange(*WAY), lambda copy=copy: self.arrive(there, copy))
 
     def arrive(self, key: str, data: bytes) -> None:
--- a/thymedeck/lab/world.py
+++ b/thymedeck/lab/world.py
@@ -1,7 +1,7 @@
-"""A world in virtual time: its clock, its event heap, and sockets in memory that the net code takes as real.
+"""A simulated network in virtual time: a clock, an event queue, and in-memory sockets for the net code.
 
-Time passes only in `run`, from one event or timer to the next; what is due together comes in the order in
-which it was asked for. Nothing here knows what a balancer is.
+Time advances only in `run`, from one event or timer to the next; events that are due at the same time run in
+the order in which they were scheduled. Nothing here depends on what a balancer is.
 """
 
 import errno
@@ -13,81 +13,87 @@
 from typing import Any, NamedTuple
 
 from ..net.loop import READ, WRITE, Loop
-from .faults import Faults
+from .faults import FaultInjector
 
 Address = tuple[str, int]
-BUFFER = 65536  # bytes that wait on one way of a connection before its sender is held back
+BUFFER_BYTES = 65536  # unread bytes per direction of a connection before the sender has to wait
 START_NS = 1_000_000_000_000
-AGAIN_NS = 50_000_000  # what is held back on a cut way is tried again after this
+RETRY_NS = 50_000_000  # interval at which stream data held back by a cut is retried
 
 
-class Key(NamedTuple):
+class SelectorKey(NamedTuple):
+    """Like `selectors.SelectorKey`, with the one field that the net code reads."""
+
     data: Any  # noqa: ANN401 (whatever was registered)
 
 
-class World:
+class VirtualNetwork:
+    """The clock, the event queue, all addresses in use, and the event loops that run on them."""
+
     def __init__(self, delay_ns: int) -> None:
         self.now_ns = START_NS
-        self.delay_ns = delay_ns  # from any machine to any other
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.count = 0
-        self.doors: dict[Address, MemorySocket] = {}
+        self.delay_ns = delay_ns  # one way, between any two machines
+        self.events: list[tuple[int, int, Callable[[], None]]] = []
+        self.event_count = 0
+        self.listening_sockets: dict[Address, MemorySocket] = {}
         self.loops: list[Loop] = []
-        self.cut: set[str] = set()  # machines that nothing comes from or gets to
-        self.datagrams: dict[Address, MemoryDatagrams] = {}
-        self.faults: Faults | None = None  # between machines, by the names of their hosts
-        self.names: dict[str, str] = {}  # by host
-        self.frozen: set[Loop] = set()  # loops that do not turn; their timers come late
+        self.isolated_hosts: set[str] = set()  # nothing is delivered from or to these
+        self.datagram_sockets: dict[Address, MemoryDatagramSocket] = {}
+        self.faults: FaultInjector | None = None  # between machines, by the names of their hosts
+        self.host_names: dict[str, str] = {}  # party names by host
+        self.frozen_loops: set[Loop] = set()  # loops that do not run; their timers fire late
 
     def after(self, wait_ns: int, call: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (self.now_ns + wait_ns, self.count, call))
+        self.event_count += 1
+        heapq.heappush(self.events, (self.now_ns + wait_ns, self.event_count, call))
 
-    def run(self, for_ns: int) -> None:
-        end = self.now_ns + for_ns
+    def run(self, duration_ns: int) -> None:
+        end = self.now_ns + duration_ns
         while True:
-            awake = [loop for loop in self.loops if loop not in self.frozen]
-            for loop in awake:
-                while loop.running and (loop.selector.touched or self.timer_ns(loop) <= self.now_ns):
+            active = [loop for loop in self.loops if loop not in self.frozen_loops]
+            for loop in active:
+                while loop.running and (
+                    loop.selector.may_be_ready or self.next_timer_ns(loop) <= self.now_ns
+                ):
                     loop.turn()
-            times = [self.timer_ns(loop) for loop in awake if loop.running]
-            if self.heap:
-                times.append(self.heap[0][0])
+            times = [self.next_timer_ns(loop) for loop in active if loop.running]
+            if self.events:
+                times.append(self.events[0][0])
             due = min(times, default=end + 1)
             if due > end:
                 self.now_ns = end
                 return
             self.now_ns = max(due, self.now_ns)
-            while self.heap and self.heap[0][0] <= self.now_ns:
-                heapq.heappop(self.heap)[2]()
+            while self.events and self.events[0][0] <= self.now_ns:
+                heapq.heappop(self.events)[2]()
 
     def now(self) -> int:
-        """Tenths of a millisecond since the world began."""
+        """Returns tenths of a millisecond since the start."""
         return (self.now_ns - START_NS) // 100_000
 
     def name_of(self, host: str) -> str:
-        return self.names.get(host, host)
+        return self.host_names.get(host, host)
 
     @staticmethod
-    def timer_ns(loop: Loop) -> int:
-        """When the loop's next timer is due, in the loop's own whole tenths of a millisecond."""
+    def next_timer_ns(loop: Loop) -> int:
+        """When the loop's next timer is due, rounded down to the loop's tenths of a millisecond."""
         while loop.timers and loop.timers[0][2].call is None:
             heapq.heappop(loop.timers)
         return loop.timers[0][0] * 100_000 if loop.timers else 1 << 62
 
 
 class Machine:
-    """Stands in for `net.system.System`: one machine of the world, with a log of its own."""
+    """Replaces `net.system.System`: one machine of the network, with its own log."""
 
-    def __init__(self, world: World, host: str) -> None:
-        self.world = world
+    def __init__(self, network: VirtualNetwork, host: str) -> None:
+        self.network = network
         self.host = host
-        self.lines: list[bytes] = []
-        self.ports = 40_000
-        self.sockets: dict[MemorySocket, None] = {}  # open ones
+        self.log_lines: list[bytes] = []
+        self.last_port = 40_000
+        self.open_sockets: dict[MemorySocket, None] = {}
 
     def monotonic_ns(self) -> int:
-        return self.world.now_ns
+        return self.network.now_ns
 
     time_ns = monotonic_ns
 
@@ -95,102 +101,107 @@
         return MemorySelector()
 
     def stream(self) -> "MemorySocket":
-        self.ports += 1
-        return self.own(MemorySocket(self.world, (self.host, self.ports)))
+        self.last_port += 1
+        return self.adopt(MemorySocket(self.network, (self.host, self.last_port)))
 
-    def own(self, sock: "MemorySocket") -> "MemorySocket":
-        self.sockets[sock] = None
+    def adopt(self, sock: "MemorySocket") -> "MemorySocket":
+        """Registers a socket as open on this machine."""
+        self.open_sockets[sock] = None
         sock.machine = self
         return sock
 
-    def die(self) -> None:
-        """All at once and without a word of its own: what is open is reset, as by the kernel."""
-        for sock in list(self.sockets):
+    def crash(self) -> None:
+        """Closes everything at once as the kernel does for a killed process; connections are reset."""
+        for sock in list(self.open_sockets):
             sock.reset_on_close = True
             sock.close()
-        for address in [one for one in self.world.datagrams if one[0] == self.host]:
-            self.world.datagrams[address].close()
+        for address in [bound for bound in self.network.datagram_sockets if bound[0] == self.host]:
+            self.network.datagram_sockets[address].close()
 
     def listen(self, address: Address, backlog: int) -> "MemorySocket":
-        if address in self.world.doors:
+        if address in self.network.listening_sockets:
             raise OSError(errno.EADDRINUSE, "address in use")
-        door = self.world.doors[address] = self.own(MemorySocket(self.world, address))
-        door.waiting = []
-        return door
+        listening = self.network.listening_sockets[address] = self.adopt(MemorySocket(self.network, address))
+        listening.accept_queue = []
+        return listening
 
-    def datagram(self, address: Address) -> "MemoryDatagrams":
-        if address in self.world.datagrams:
+    def datagram(self, address: Address) -> "MemoryDatagramSocket":
+        if address in self.network.datagram_sockets:
             raise OSError(errno.EADDRINUSE, "address in use")
-        sock = self.world.datagrams[address] = MemoryDatagrams(self.world, address)
+        sock = self.network.datagram_sockets[address] = MemoryDatagramSocket(self.network, address)
         return sock
 
     def log(self) -> Callable[[bytes], None]:
-        return self.lines.append
+        return self.log_lines.append
 
 
 class MemorySelector:
     def __init__(self) -> None:
-        self.touched = False  # something may be ready: it changed, or was, at the last look
-        self.watched: dict[MemorySocket, tuple[int, Any]] = {}
+        self.may_be_ready = False  # a socket changed since the last select, or was ready in it
+        self.registered: dict[MemorySocket, tuple[int, Any]] = {}
 
     def register(self, sock: "MemorySocket", mask: int, data: Any) -> None:  # noqa: ANN401
-        self.watched[sock] = (mask, data)
+        self.registered[sock] = (mask, data)
         sock.selector = self
-        self.touched = True
+        self.may_be_ready = True
 
     modify = register
 
     def unregister(self, sock: "MemorySocket") -> None:
-        del self.watched[sock]
+        del self.registered[sock]
         sock.selector = None
 
-    def select(self, wait: float | None) -> list[tuple[Key, int]]:
-        """Looks and does not wait: the world does."""
+    def select(self, wait: float | None) -> list[tuple[SelectorKey, int]]:
+        """Polls without waiting; `VirtualNetwork.run` advances the time."""
         found = []
-        for sock, (mask, data) in self.watched.items():
-            if hit := mask & sock.can():
-                found.append((Key(data), hit))
-        self.touched = bool(found)
+        for sock, (mask, data) in self.registered.items():
+            if ready := mask & sock.ready_mask():
+                found.append((SelectorKey(data), ready))
+        self.may_be_ready = bool(found)
         return found
 
 
-class MemoryDatagrams:
-    """A socket for datagrams; what nobody takes is lost once so many wait."""
+class MemoryDatagramSocket:
+    """A datagram socket; datagrams are dropped while MAX_QUEUED of them wait to be read."""
 
-    MOST = 512
+    MAX_QUEUED = 512
 
-    def __init__(self, world: World, name: Address) -> None:
-        self.world = world
-        self.name = name
+    def __init__(self, network: VirtualNetwork, address: Address) -> None:
+        self.network = network
+        self.address = address
         self.selector: MemorySelector | None = None
-        self.inbox: deque[bytes] = deque()
+        self.receive_queue: deque[bytes] = deque()
         self.closed = False
 
-    def can(self) -> int:
-        return READ if self.inbox else 0
+    def ready_mask(self) -> int:
+        return READ if self.receive_queue else 0
 
     def sendto(self, data: bytes, address: Address) -> int:
-        world = self.world
-        fates = [(0, data)]
-        if world.faults is not None:
-            source, target = world.name_of(self.name[0]), world.name_of(address[0])
-            fates = world.faults.fates(world.now(), source, target, data)
-        for delay, copy in fates:
-            world.after(world.delay_ns + delay * 100_000, partial(self.arrive, address, copy))
+        network = self.network
+        deliveries = [(0, data)]
+        if network.faults is not None:
+            source, target = network.name_of(self.address[0]), network.name_of(address[0])
+            deliveries = network.faults.deliveries(network.now(), source, target, data)
+        for delay, copy in deliveries:
+            network.after(network.delay_ns + delay * 100_000, partial(self.deliver, address, copy))
         return len(data)
 
-    def arrive(self, address: Address, data: bytes) -> None:
-        there = self.world.datagrams.get(address)
-        if there is None or self.world.cut & {self.name[0], address[0]} or len(there.inbox) >= self.MOST:
+    def deliver(self, address: Address, data: bytes) -> None:
+        receiver = self.network.datagram_sockets.get(address)
+        if (
+            receiver is None
+            or self.network.isolated_hosts & {self.address[0], address[0]}
+            or len(receiver.receive_queue) >= self.MAX_QUEUED
+        ):
             return
-        there.inbox.append(data)
-        if there.selector is not None:
-            there.selector.touched = True
+        receiver.receive_queue.append(data)
+        if receiver.selector is not None:
+            receiver.selector.may_be_ready = True
 
-    def recv(self, most: int) -> bytes:
-        if not self.inbox:
+    def recv(self, size: int) -> bytes:
+        if not self.receive_queue:
             raise BlockingIOError
-        return self.inbox.popleft()[:most]
+        return self.receive_queue.popleft()[:size]
 
     def fileno(self) -> int:
         return -1 if self.closed else 0
@@ -199,124 +210,129 @@
         pass
 
     def getsockname(self) -> Address:
-        return self.name
+        return self.address
 
     def close(self) -> None:
         self.closed = True
-        self.world.datagrams.pop(self.name, None)
+        self.network.datagram_sockets.pop(self.address, None)
 
 
 class MemorySocket:
-    """One end of a connection, or a listening socket: the calls that the net code makes, and their errors."""
+    """One end of a stream connection, or a listening socket. Has the socket calls that the net code uses."""
 
-    def __init__(self, world: World, name: Address) -> None:
-        self.world = world
-        self.name = name
+    def __init__(self, network: VirtualNetwork, address: Address) -> None:
+        self.network = network
+        self.address = address
         self.selector: MemorySelector | None = None
         self.machine: Machine | None = None
-        self.far: MemorySocket | None = None
-        self.waiting: list[MemorySocket] | None = None  # of a listening socket: not yet accepted
-        self.inbox = bytearray()
-        self.under_way = 0  # bytes sent that the other side has not taken yet
+        self.remote: MemorySocket | None = None
+        self.accept_queue: list[MemorySocket] | None = None  # only of a listening socket
+        self.receive_buffer = bytearray()
+        self.unread_bytes = 0  # sent, but not yet read by the remote end
         self.error = 0
-        self.ended = False  # the other side has ended its sending, and all of it is here
-        self.shut = False
+        self.remote_ended = False  # the remote end has shut down its sending, and all its data is here
+        self.write_shut = False
         self.connecting = False
         self.closed = False
         self.reset_on_close = False
-        self.arrives_ns = 0  # the last of what went out gets there then
+        self.last_arrival_ns = 0  # when the last thing sent arrives
 
-    def can(self) -> int:
-        if self.waiting is not None:
-            return READ if self.waiting else 0
+    def ready_mask(self) -> int:
+        if self.accept_queue is not None:
+            return READ if self.accept_queue else 0
         if self.error:
             return READ | WRITE
-        mask = READ if self.inbox or self.ended else 0
+        mask = READ if self.receive_buffer or self.remote_ended else 0
         return (
-            mask | WRITE if self.far is not None and not self.connecting and self.under_way < BUFFER else mask
+            mask | WRITE
+            if self.remote is not None and not self.connecting and self.unread_bytes < BUFFER_BYTES
+            else mask
         )
 
     def touch(self) -> None:
+        """Tells the selector that the readiness of this socket may have changed."""
         if self.selector is not None:
-            self.selector.touched = True
+            self.selector.may_be_ready = True
 
-    def carry(self, call: Callable[[], None], far: str) -> None:
-        """What this end does reaches the other a way's time later, in order, unless the way is cut.
+    def schedule_at_remote(self, call: Callable[[], None], remote_host: str) -> None:
+        """Schedules the effect of an operation at the remote end, in order, after the one-way delay.
 
-        What a cut by `faults` holds back comes once it has healed, as a stream sends again what is lost.
+        It is dropped if a host is isolated. A cut by `faults` only delays it until the cut is over, as
+        retransmission does on a real stream.
         """
-        world = self.world
-        source, target = world.name_of(self.name[0]), world.name_of(far)
+        network = self.network
+        source, target = network.name_of(self.address[0]), network.name_of(remote_host)
 
         def arrive() -> None:
-            if world.cut & {self.name[0], far}:
+            if network.isolated_hosts & {self.address[0], remote_host}:
                 return
-            if world.faults is not None and world.faults.is_cut(world.now(), source, target):
-                world.after(AGAIN_NS, arrive)
+            if network.faults is not None and network.faults.is_cut(network.now(), source, target):
+                network.after(RETRY_NS, arrive)
                 return
             call()
 
-        wait = world.delay_ns
-        if world.faults is not None:
-            wait += world.faults.delay(world.now(), source, target) * 100_000
-        self.arrives_ns = max(self.arrives_ns, world.now_ns + wait)
-        world.after(self.arrives_ns - world.now_ns, arrive)
+        wait = network.delay_ns
+        if network.faults is not None:
+            wait += network.faults.stream_delay(network.now(), source, target) * 100_000
+        self.last_arrival_ns = max(self.last_arrival_ns, network.now_ns + wait)
+        network.after(self.last_arrival_ns - network.now_ns, arrive)
 
     def connect_ex(self, address: Address) -> int:
         self.connecting = True
-        self.carry(lambda: self.knock(address), address[0])
+        self.schedule_at_remote(lambda: self.handle_connect(address), address[0])
         return errno.EINPROGRESS
 
-    def knock(self, address: Address) -> None:
-        door = self.world.doors.get(address)
+    def handle_connect(self, address: Address) -> None:
+        """Handles this socket's connection request at the address that it connects to."""
+        listening = self.network.listening_sockets.get(address)
         if self.closed:
             return
-        if door is None:
-            self.carry(lambda: self.fail(errno.ECONNREFUSED), address[0])
+        if listening is None:
+            self.schedule_at_remote(lambda: self.set_error(errno.ECONNREFUSED), address[0])
             return
-        near = MemorySocket(self.world, address)
-        near.far = self
-        door.waiting.append(near)
-        door.touch()
-        near.carry(lambda: self.joined(near), self.name[0])
+        accepted = MemorySocket(self.network, address)
+        accepted.remote = self
+        listening.accept_queue.append(accepted)
+        listening.touch()
+        accepted.schedule_at_remote(lambda: self.finish_connect(accepted), self.address[0])
 
-    def joined(self, near: "MemorySocket") -> None:
+    def finish_connect(self, remote: "MemorySocket") -> None:
         self.connecting = False
-        self.far = near
+        self.remote = remote
         self.touch()
 
     def accept(self) -> tuple["MemorySocket", Address]:
-        if not self.waiting:
+        if not self.accept_queue:
             raise BlockingIOError
-        near = self.waiting.pop(0)
+        accepted = self.accept_queue.pop(0)
         if self.machine is not None:
-            self.machine.own(near)
-        return near, near.far.name
+            self.machine.adopt(accepted)
+        return accepted, accepted.remote.address
 
-    def fail(self, error: int) -> None:
+    def set_error(self, error: int) -> None:
         if not self.closed:
             self.error = error
             self.touch()
 
     def raise_error(self) -> None:
         if self.error:
-            raise OSError(self.error, "failed")
+            raise OSError(self.error, "connection failed")
 
     def sendmsg(self, parts: list[memoryview]) -> int:
         self.raise_error()
-        data = b"".join(parts)[: BUFFER - self.under_way]
+        data = b"".join(parts)[: BUFFER_BYTES - self.unread_bytes]
         if not data:
             raise BlockingIOError
-        far = self.far
-        self.under_way += len(data)
-        self.carry(lambda: far.take(data), far.name[0])
+        remote = self.remote
+        self.unread_bytes += len(data)
+        self.schedule_at_remote(lambda: remote.receive(data), remote.address[0])
         return len(data)
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         if self.closed:
-            self.carry(lambda: self.far.fail(errno.ECONNRESET), self.far.name[0])
+            self.schedule_at_remote(lambda: self.remote.set_error(errno.ECONNRESET), self.remote.address[0])
         else:
-            self.inbox += data
+            self.receive_buffer += data
             self.touch()
 
     def recvmsg_into(self, parts: list[memoryview]) -> tuple[int, list, int, None]:
@@ -328,28 +344,28 @@
             done += len(piece)
         return done, [], 0, None
 
-    def recv(self, most: int) -> bytes:
+    def recv(self, size: int) -> bytes:
         self.raise_error()
-        data = bytes(self.inbox[:most])
+        data = bytes(self.receive_buffer[:size])
         if not data:
-            if self.ended:
+            if self.remote_ended:
                 return b""
             raise BlockingIOError
-        del self.inbox[:most]
-        if self.far is not None:
-            self.far.under_way -= len(data)
-            self.far.touch()
+        del self.receive_buffer[:size]
+        if self.remote is not None:
+            self.remote.unread_bytes -= len(data)
+            self.remote.touch()
         return data
 
     def shutdown(self, how: int) -> None:
         self.raise_error()
-        if not self.shut:
-            self.shut = True
-            far = self.far
-            self.carry(far.end, far.name[0])
+        if not self.write_shut:
+            self.write_shut = True
+            remote = self.remote
+            self.schedule_at_remote(remote.receive_end, remote.address[0])
 
-    def end(self) -> None:
-        self.ended = True
+    def receive_end(self) -> None:
+        self.remote_ended = True
         self.touch()
 
     def close(self) -> None:
@@ -357,18 +373,18 @@
             return
         self.closed = True
         if self.machine is not None:
-            self.machine.sockets.pop(self, None)
-        if self.waiting is not None:
-            del self.world.doors[self.name]
-            for near in self.waiting:
-                near.reset_on_close = True
-                near.close()
-        elif self.far is not None and not self.error:
-            far = self.far
-            if self.reset_on_close or self.inbox:
-                self.carry(lambda: far.fail(errno.ECONNRESET), far.name[0])
-            elif not self.shut:
-                self.carry(far.end, far.name[0])
+            self.machine.open_sockets.pop(self, None)
+        if self.accept_queue is not None:
+            del self.network.listening_sockets[self.address]
+            for accepted in self.accept_queue:
+                accepted.reset_on_close = True
+                accepted.close()
+        elif self.remote is not None and not self.error:
+            remote = self.remote
+            if self.reset_on_close or self.receive_buffer:
+                self.schedule_at_remote(lambda: remote.set_error(errno.ECONNRESET), remote.address[0])
+            elif not self.write_shut:
+                self.schedule_at_remote(remote.receive_end, remote.address[0])
 
     def setsockopt(self, level: int, name: int, value: int | bytes) -> None:
         if (level, name) == (socket.SOL_SOCKET, socket.SO_LINGER):
@@ -381,4 +397,4 @@
         pass
 
     def getsockname(self) -> Address:
-        return self.name
+        return self.address
