--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -18,120 +18,125 @@
 BALANCER, SERVER = ("10.0.0.1", 8000), ("10.1.0.1", 8000)
 
 
-class Answering(Connection):
-    """A server's end: takes the session, then sends every line back."""
+class EchoConnection(Connection):
+    """The server end of a session: accepts it, then echoes every line."""
 
     def on_bytes(self, count: int) -> None:
         data = self.inbound.take()
         self.say(b"UP receipt\r\n" if data.startswith(b"OPEN ") else data)
 
 
-class Calling(Connection):
-    """A client's end; keeps what it is told."""
+class ClientConnection(Connection):
+    """The client end of a session; keeps all that it receives."""
 
-    def __init__(self, loop: Loop, sock: MemorySocket, ident: bytes) -> None:
+    def __init__(self, loop: Loop, sock: MemorySocket, session_id: bytes) -> None:
         super().__init__(loop, sock)
-        self.heard = b""
-        self.outbound.put(b"OPEN %s key c=chat,d=2000\r\n" % ident)
+        self.received = b""
+        self.outbound.put(b"OPEN %s key c=chat,d=2000\r\n" % session_id)
         self.connect(BALANCER)
         self.await_more()
 
     def on_bytes(self, count: int) -> None:
-        self.heard += self.inbound.take()
+        self.received += self.inbound.take()
 
     def on_broken(self) -> None:
-        self.heard += b"<broken>"
+        self.received += b"<broken>"
         self.close()
 
 
-class Door:
+class EchoServer:
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.sock = loop.system.listen(SERVER, 16)
         loop.watch(self.sock, 0, READ, self)
 
     def ready(self, mask: int) -> None:
-        Answering(self.loop, self.sock.accept()[0]).await_more()
+        EchoConnection(self.loop, self.sock.accept()[0]).await_more()
 
 
-class Play:
-    """One balancer, one server and no list but the one that the balancer knows."""
+class Simulation:
+    """One balancer and one server. There is no list service; the balancer has its saved list."""
 
     def __init__(self, seed: int = 1) -> None:
         self.network = VirtualNetwork(delay_ns=1_000_000)
-        told = {
+        config = {
             "name": "b", "listen": "10.0.0.1:8000", "discovery": "10.2.0.1:8500", "settings": SETTINGS,
             "known": {"version": 1, "servers": [{"id": "s", "addr": "10.1.0.1:8000"}]},
             "limits": {"sockets": 256},
         }  # fmt: skip
         self.machine = Machine(self.network, BALANCER[0])
         start = Start(
-            "", msgspec.json.decode(msgspec.json.encode(told), type=Told), BALANCER, ("10.2.0.1", 8500), seed
+            "",
+            msgspec.json.decode(msgspec.json.encode(config), type=Told),
+            BALANCER,
+            ("10.2.0.1", 8500),
+            seed,
         )
         self.service = Service(start, self.machine)
         self.service.open()
-        Door(self.loop("10.1.0.1"))
-        self.outside = self.loop("10.9.0.1")
-        self.add(self.service.loop)
+        EchoServer(self.add_machine("10.1.0.1"))
+        self.client_loop = self.add_machine("10.9.0.1")
+        self.add_loop(self.service.loop)
 
-    def loop(self, host: str) -> Loop:
-        return self.add(Loop(self.fault, 4096, Machine(self.network, host)))
+    def add_machine(self, host: str) -> Loop:
+        return self.add_loop(Loop(self.handle_fault, 4096, Machine(self.network, host)))
 
-    def add(self, loop: Loop) -> Loop:
+    def add_loop(self, loop: Loop) -> Loop:
         loop.running = True
         self.network.loops.append(loop)
         return loop
 
-    def call(self, ident: bytes) -> Calling:
-        return Calling(self.outside, self.outside.system.stream(), ident)
+    def connect_client(self, session_id: bytes) -> ClientConnection:
+        return ClientConnection(self.client_loop, self.client_loop.system.stream(), session_id)
 
     @staticmethod
-    def fault(why: BaseException) -> None:
-        raise why
+    def handle_fault(error: BaseException) -> None:
+        raise error
 
-    def events(self, name: str) -> list[dict]:
-        return [one for one in map(json.loads, self.machine.log_lines) if one["event"] == name]
+    def log_entries(self, name: str) -> list[dict]:
+        return [entry for entry in map(json.loads, self.machine.log_lines) if entry["event"] == name]
 
 
-def test_a_session_stands_and_its_lines_pass_in_virtual_time() -> None:
-    play = Play()
-    client = play.call(b"a1")
-    play.network.run(SECOND)
-    assert client.heard == b"UP receipt\r\n"
+def test_session_is_established_and_lines_are_forwarded() -> None:
+    simulation = Simulation()
+    client = simulation.connect_client(b"a1")
+    simulation.network.run(SECOND)
+    assert client.received == b"UP receipt\r\n"
     client.say(b"hello\r\n")
-    play.network.run(SECOND)
-    assert client.heard == b"UP receipt\r\nhello\r\n"
-    (up,) = play.events("up")
-    assert up["took"] == 40  # there and back twice, a millisecond each way
+    simulation.network.run(SECOND)
+    assert client.received == b"UP receipt\r\nhello\r\n"
+    (up,) = simulation.log_entries("up")
+    assert up["took"] == 40  # two round trips at one millisecond each way
 
 
-def test_a_server_that_is_cut_off_is_left_after_three_silent_seconds() -> None:
-    play = Play()
-    client = play.call(b"a1")
-    play.network.run(SECOND)
-    play.network.isolated_hosts.add(SERVER[0])
+def test_client_moves_from_an_isolated_server_after_three_seconds() -> None:
+    simulation = Simulation()
+    client = simulation.connect_client(b"a1")
+    simulation.network.run(SECOND)
+    simulation.network.isolated_hosts.add(SERVER[0])
     client.say(b"hello\r\n")
-    play.network.run(2 * SECOND)
-    assert client.heard == b"UP receipt\r\n"
-    play.network.run(2 * SECOND)
-    assert client.heard.endswith(b"MOVE\r\n")
-    late = play.call(b"a2")  # its dials never come up: it is told so, and not left waiting
-    play.network.run(3 * SECOND)
-    assert late.heard == b"BUSY\r\n"
+    simulation.network.run(2 * SECOND)
+    assert client.received == b"UP receipt\r\n"
+    simulation.network.run(2 * SECOND)
+    assert client.received.endswith(b"MOVE\r\n")
+    # The dials of a new client all fail, so it is refused and not left waiting.
+    late_client = simulation.connect_client(b"a2")
+    simulation.network.run(3 * SECOND)
+    assert late_client.received == b"BUSY\r\n"
 
 
 def test_the_same_seed_writes_the_same_log_to_the_byte() -> None:
     logs = []
     for seed in (3, 3, 4):
-        play = Play(seed)
+        simulation = Simulation(seed)
         for at in range(20):
-            play.call(b"c%d" % at)
-            play.network.run(SECOND // 7)
-        logs.append(b"".join(play.machine.log_lines))
+            simulation.connect_client(b"c%d" % at)
+            simulation.network.run(SECOND // 7)
+        logs.append(b"".join(simulation.machine.log_lines))
     assert logs[0] == logs[1] != logs[2]
 
 
-def test_a_full_buffer_holds_its_sender_back_and_a_reset_is_an_error() -> None:
+def test_full_buffer_blocks_the_sender_and_a_reset_is_an_error() -> None:
     network = VirtualNetwork(delay_ns=1_000)
     near, far = Machine(network, "10.0.0.1"), Machine(network, "10.0.0.2")
     door = far.listen(("10.0.0.2", 1), 4)
@@ -150,7 +155,7 @@
         sock.recv(1)
 
 
-def test_nobody_listens() -> None:
+def test_connection_without_a_listener_is_refused() -> None:
     network = VirtualNetwork(delay_ns=1_000)
     sock = Machine(network, "10.0.0.1").stream()
     sock.connect_ex(("10.0.0.2", 1))
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""Real daemons with faults between them, and the same plays in virtual time; nothing is left behind."""
+"""Scenarios with faults on real daemons and in virtual time, the checks themselves, and scenario files."""
 
 import os
 from pathlib import Path
@@ -13,14 +13,14 @@
 from thymedeck.peers.messages import Counts, Kind, Rumour, Told
 from thymedeck.peers.stated import Unfit
 
-FOLDER = Path(__file__).parent / "scenarios" / "lab"
+SCENARIOS = Path(__file__).parent / "scenarios" / "lab"
 NEW_KEY = "ff" * 16
 
 
 @pytest.mark.parametrize("processes", [False, True], ids=["virtual", "processes"])
 @pytest.mark.parametrize("name", ["cut_frozen_killed", "lossy"])
-def test_a_fleet_with_pieces_broken(name: str, processes: bool) -> None:
-    run = ScenarioRun(read_scenario(str(FOLDER / f"{name}.toml")), 1, processes)
+def test_scenario_with_faults_passes_all_checks(name: str, processes: bool) -> None:
+    run = ScenarioRun(read_scenario(str(SCENARIOS / f"{name}.toml")), 1, processes)
     results = run.run()
     assert not [line for result in results for line in result.violations]
     assert all(result.examined for result in results if "cold" not in result.check)
@@ -30,7 +30,7 @@
 
 
 def test_the_same_seed_gives_the_same_record_to_the_byte() -> None:
-    scenario = read_scenario(str(FOLDER / "cut_frozen_killed.toml"))
+    scenario = read_scenario(str(SCENARIOS / "cut_frozen_killed.toml"))
     scenario.duration = 8 * SECOND
     scenario.actions = []
     records = []
@@ -41,7 +41,7 @@
     assert records[0] == records[1] != records[2]
 
 
-def called_gone(testbed: ProcessTestbed, names: list[str]) -> list[str]:
+def texts_reporting_gone(testbed: ProcessTestbed, names: list[str]) -> list[str]:
     return [
         entry["text"]
         for name in names
@@ -52,54 +52,60 @@
     ]
 
 
-def test_hostile_with_the_key_flood_without_it_keys_changed_and_a_name_taken_twice() -> None:
+def test_hostile_peer_then_key_rotation_then_duplicate_name() -> None:
     with ProcessTestbed(1, deployment_settings(8, ["m1"], ["a"]), {}) as testbed:
         names = testbed.start_fleet(8)
         fake_peer = FakePeer(testbed, "g0")
-        fake_peer.sends_extra_fields = True  # a fleet of two versions of messages
+        fake_peer.sends_extra_fields = True  # a mixed-version fleet must accept them
         assert testbed.run_until(
             lambda: all(testbed.live_peer_count(name) == 8 for name in names), 20 * SECOND
         )
         assert testbed.run_until(lambda: len(fake_peer.peers.ledger.heard) == 8, 10 * SECOND)
-        honest = list(fake_peer.peers.peers.values())
-        for turn in range(60):
-            for peer in honest:
-                dead = [Rumour(Told.GONE, one.name, one.incarnation) for one in honest if one is not peer]
-                fake_peer.send_forged(peer, Kind.ACK, rumours=dead)
-                lie = Counts(10**9, [("m1", 10**6)])
-                fake_peer.send_forged(peer, Kind.COUNTS, name=honest[turn % 8].name, counts=lie)
+        honest_peers = list(fake_peer.peers.peers.values())
+        for round_number in range(60):
+            for peer in honest_peers:
+                rumours = [
+                    Rumour(Told.GONE, one.name, one.incarnation) for one in honest_peers if one is not peer
+                ]
+                fake_peer.send_forged(peer, Kind.ACK, rumours=rumours)
+                false_counts = Counts(10**9, [("m1", 10**6)])
+                fake_peer.send_forged(
+                    peer, Kind.COUNTS, name=honest_peers[round_number % 8].name, counts=false_counts
+                )
                 for _ in range(40):
                     fake_peer.send_raw(peer.address, os.urandom(200))
             testbed.run(SECOND // 20)
-        assert not called_gone(testbed, names)
-        said = [entry["text"] for name in names for entry in testbed.log(name) if entry["event"] == "peers"]
-        assert any("g0 is not heeded" in text for text in said)
-        dropped = [
+        assert not texts_reporting_gone(testbed, names)
+        peers_texts = [
+            entry["text"] for name in names for entry in testbed.log(name) if entry["event"] == "peers"
+        ]
+        assert any("g0 is not heeded" in text for text in peers_texts)
+        drop_entries = [
             entry for name in names for entry in testbed.log(name) if entry["event"] == "peers_dropped"
         ]
-        assert sum(entry.get("key", 0) for entry in dropped) > 0
+        assert sum(entry.get("key", 0) for entry in drop_entries) > 0
 
         for keys in ([SHARED_KEY, NEW_KEY], [NEW_KEY, SHARED_KEY], [NEW_KEY]):
             testbed.write_key_file(*keys)
             for name in names:
                 testbed.reload(name)
-            read_again = len(keys) if keys != [NEW_KEY, SHARED_KEY] else 2
+            expected_count = len(keys) if keys != [NEW_KEY, SHARED_KEY] else 2
             assert testbed.run_until(
-                lambda n=read_again: all(count_of_keys(testbed, b) == n for b in names), 10 * SECOND
+                lambda n=expected_count: all(loaded_key_count(testbed, b) == n for b in names), 10 * SECOND
             )
             testbed.run(SECOND)
-        fake_peer.close()  # it has the old key alone
+        fake_peer.close()  # it has only the old key
         assert testbed.run_until(
             lambda: all(testbed.live_peer_count(name) == 7 for name in names), 20 * SECOND
         )
-        assert not called_gone(testbed, names)
+        assert not texts_reporting_gone(testbed, names)
 
         testbed.start("b8", configured_name="b2")
         testbed.wait_until_started("b8")
-        taken = "the name b2 is taken by"
+        name_taken = "the name b2 is taken by"
         assert testbed.run_until(
             lambda: (
-                any(taken in e.get("text", "") for e in testbed.log("b8"))
+                any(name_taken in e.get("text", "") for e in testbed.log("b8"))
                 or any(
                     "two balancers call themselves b2" in e.get("text", "")
                     for n in names
@@ -111,58 +117,58 @@
         assert not any(entry["event"] in ("fault", "text") for name in names for entry in testbed.log(name))
 
 
-def count_of_keys(testbed: ProcessTestbed, name: str) -> int:
+def loaded_key_count(testbed: ProcessTestbed, name: str) -> int:
     lines = [entry["count"] for entry in testbed.log(name) if entry["event"] == "peer_keys"]
     return lines[-1] if lines else 0
 
 
-LINE = {"what": "client line", "id": "a", "balancer": "b0", "kind": "once", "deadline": 100}
+REQUEST = {"what": "client line", "id": "a", "balancer": "b0", "kind": "once", "deadline": 100}
 
 
-def told(at: int, what: str, **more: object) -> dict:
+def event(at: int, what: str, **more: object) -> dict:
     return {"at": at, "what": what, "id": "a", "balancer": "b0", "server": "s0"} | more
 
 
 VIOLATIONS = {
-    "no answer": (checks.one_answer, [LINE | {"at": 0}], {"end": 10**6}),
+    "no answer": (checks.one_answer, [REQUEST | {"at": 0}], {"end": 10**6}),
     "a late answer": (
-        checks.one_answer, [LINE | {"at": 0}, told(5000, "client answer", word="UP")], {"end": 10**6},
+        checks.one_answer, [REQUEST | {"at": 0}, event(5000, "client answer", word="UP")], {"end": 10**6},
     ),
     "two answers": (
-        checks.one_answer, [LINE | {"at": 0}] + 2 * [told(5, "client answer", word="UP")], {"end": 10**6},
+        checks.one_answer, [REQUEST | {"at": 0}] + 2 * [event(5, "client answer", word="UP")], {"end": 10**6},
     ),
     "more after a refusal": (
         checks.one_answer,
-        [LINE | {"at": 0}, told(5, "client answer", word="BUSY"), told(6, "client more", line="UP")],
+        [REQUEST | {"at": 0}, event(5, "client answer", word="BUSY"), event(6, "client more", line="UP")],
         {"end": 10**6},
     ),
     "once-only at two servers": (
         checks.no_effect_twice,
-        [LINE | {"at": 0}, told(1, "server line"), told(2, "server answer", answer="lost"),
-         told(3, "server end"), told(4, "server line", server="s1")],
+        [REQUEST | {"at": 0}, event(1, "server line"), event(2, "server answer", answer="lost"),
+         event(3, "server end"), event(4, "server line", server="s1")],
         {"effects": {"once": "once"}},
     ),
     "two lines out": (
         checks.no_effect_twice,
-        [told(1, "server line"), told(4, "server line", server="s1")],
+        [event(1, "server line"), event(4, "server line", server="s1")],
         {"effects": {}},
     ),
     "a dial after the grace": (
         checks.drains_kept,
-        [told(0, "list answer", status=200, told=[("s0", "DRAINING")]), told(30_000, "server line")],
+        [event(0, "list answer", status=200, told=[("s0", "DRAINING")]), event(30_000, "server line")],
         {"grace": 20_000},
     ),
     "a rush on a cold server": (
         checks.cold_spared,
-        [told(0, "cold", budget=3, window=100, until=1000)]
-        + [told(at, "server line") for at in (50, 60, 99, 101)],
+        [event(0, "cold", budget=3, window=100, until=1000)]
+        + [event(at, "server line") for at in (50, 60, 99, 101)],
         {},
     ),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("name", VIOLATIONS)
-def test_each_check_sees_what_it_is_there_for(name: str) -> None:
+def test_each_check_detects_its_violation(name: str) -> None:
     check, entries, more = VIOLATIONS[name]
     assert check(entries, **more)
     assert not check(entries[:-1] if name != "no answer" else [], **more) or name in (
@@ -171,10 +177,10 @@
     )
 
 
-def test_once_only_may_go_on_where_it_never_ran() -> None:
+def test_a_refused_once_only_session_may_go_to_another_server() -> None:
     entries = [
-        LINE | {"at": 0}, told(1, "server line"), told(2, "server answer", answer="BUSY"),
-        told(3, "server end"), told(4, "server line", server="s1"),
+        REQUEST | {"at": 0}, event(1, "server line"), event(2, "server answer", answer="BUSY"),
+        event(3, "server end"), event(4, "server line", server="s1"),
     ]  # fmt: skip
     assert not checks.no_effect_twice(entries, {"once": "once"})
 
@@ -191,10 +197,10 @@
         (("balancers = 8", "balancers = 0"), "fleet"),
     ],
 )
-def test_a_wrong_scenario_gets_one_line(
+def test_an_invalid_scenario_is_reported_in_one_line(
     change: tuple[str, str], entry: str, tmp_path: Path, capsys: pytest.CaptureFixture
 ) -> None:
-    text = (FOLDER / "lossy.toml").read_text()
+    text = (SCENARIOS / "lossy.toml").read_text()
     assert change[0] in text
     path = tmp_path / "wrong.toml"
     path.write_text(text.replace(*change, 1))
