--- a/thymedeck/lab/configuration_fleet.py
+++ b/thymedeck/lab/configuration_fleet.py
@@ -33,7 +33,7 @@
     Version,
     encode,
 )
-from .faults import Faults
+from .faults import FaultInjector
 
 FRAME_OVERHEAD = 60  # bytes of TCP, IP and transport digest per message (assumed)
 SAME_REGION_DELAY = (3, 10)  # one way: from, to
@@ -63,7 +63,7 @@
     ) -> None:  # fmt: skip
         self.parameters = parameters or Parameters()
         self.rng = random.Random(seed)
-        self.faults = Faults(seed + 1)
+        self.faults = FaultInjector(seed + 1)
         self.validate = validate
         self.keepers = [f"k{index}.{index % regions}" for index in range(keepers)]
         self.followers = [f"b{index}.{index % regions}" for index in range(followers)]
@@ -243,7 +243,7 @@
             if source.rpartition(".")[2] == target.rpartition(".")[2]
             else CROSS_REGION_DELAY
         )
-        for fault_delay, _ in self.faults.fates(self.now, source, target, b""):
+        for fault_delay, _ in self.faults.deliveries(self.now, source, target, b""):
             delay = fault_delay + self.rng.randrange(low, high)
             self.call_at(self.now + delay, lambda: self.receive(source, target, message, size))
 
--- a/thymedeck/lab/scale/listing.py
+++ b/thymedeck/lab/scale/listing.py
@@ -11,7 +11,7 @@
 from ... import interface
 from ...policy import Balancer
 from ...settings import Settings, deployment_from
-from ..play import settings
+from ..play import deployment_settings
 from .crowd import run_lists
 from .daemon import Daemon, row_of
 from .process import Worker, apart, memory
@@ -92,7 +92,7 @@
 
 
 def pick_here(servers: int, repeat: int) -> dict:
-    site = deployment_from(msgspec.convert(settings(1, ["m1"], ["a"]), Settings))
+    site = deployment_from(msgspec.convert(deployment_settings(1, ["m1"], ["a"]), Settings))
     balancer = Balancer(repeat, site)
     before, now = memory(os.getpid()), 1_000_000
     begin = time.process_time()
