--- a/thymedeck/policy/balancer.py
+++ b/thymedeck/policy/balancer.py
@@ -78,7 +78,7 @@
 BACKOFF_PER_BALANCER = SECOND / 6
 MIN_BACKOFF, MAX_BACKOFF = SECOND / 2, 5 * SECOND
 LOAD_CAP = 0.75  # utilization from which a server is passed over while others are below
-MOVE_ABOVE = 0.9  # reported utilization that may pass 1 before the next report; sessions are moved off
+MOVE_ABOVE = 0.9  # utilization from which sessions are moved off: it may pass 1 before the next report
 MOVE_DOWN_TO = 0.7  # a little under the load cap, so that the server is not at the cap again at once
 HUNG_DELAY = SECOND // 2  # a message delay from here on means a server that hangs, not one that is full
 MOVE_SHARE_STEP = 0.05  # part of the load sum that each further report of slow messages adds to what is moved
@@ -299,6 +299,7 @@
             self.log(f"server list available again after {self.list_failures} failures")
             self.list_failures = 0
         known = list(self.candidates.ready)  # before this list; initial loads are taken from these servers
+        # A list and not a generator, as every entry has to be applied.
         changed = any([self.apply_entry(entry, known) for entry in event.entries])
         if event.kind is not ListKind.CHANGES:
             named = {entry.server for entry in event.entries}
@@ -307,9 +308,8 @@
                     self.mark_gone(server)
         self.candidates.regroup_idle(self.now, list(self.candidates.active.values()))
         if changed or event.kind is not ListKind.CHANGES:
-            self.kinds_updated_at = (
-                -RECOUNT_INTERVAL - 1
-            )  # a new kind has no share yet and could not be drawn
+            # A kind that is new on the list has no share yet, so it could not be drawn until the next update.
+            self.kinds_updated_at = -RECOUNT_INTERVAL - 1
             self.max_listed_count = max(self.max_listed_count, self.listed_count, event.listed_count)
 
     def apply_entry(self, entry: ServerEntry, known: list[Server]) -> bool:
@@ -1200,8 +1200,9 @@
     def exceeds_learned_cap(self, server: Server, load: float) -> bool:
         """Whether this load would take the load sum over the cap learned from slow messages on this server.
 
-        A slow machine would otherwise be filled again as soon as it has recovered, over and over. What was
-        learned is forgotten after FADE_TIME.
+        The paper behind the placement rule takes a maximum load as given; here it is learned. A slow machine
+        would otherwise be filled again as soon as it has recovered, over and over. What was learned is
+        forgotten after FADE_TIME.
         """
         learned = server.learned_caps
         while learned and learned[0][0] < self.now - FADE_TIME:
