--- a/tests/list_calls.py
+++ b/tests/list_calls.py
@@ -15,7 +15,7 @@
 
 from thymedeck.lab.play import settings
 from thymedeck.lab.stage import SECOND, Virtual
-from thymedeck.lab.standins import Listed
+from thymedeck.lab.standins import ListedServer
 
 LONGEST = 70 * SECOND
 
@@ -32,8 +32,8 @@
     told["contract"]["ask_within_us"] = int(ask_within * 1e6)
     stage = Virtual(seed, told)
     stage.add_server("s0")
-    stage.list.set(Listed("s0"))
-    stage.known = [Listed("s0")]
+    stage.list.update_servers(ListedServer("s0"))
+    stage.known = [ListedServer("s0")]
     for at in range(balancers):
         stage.start(f"b{at}")
     stage.list.capacity, stage.list.refusal_cost = capacity, refusal_cost
@@ -54,15 +54,15 @@
 
 def reset(stage: Virtual) -> None:
     """All watches are reset at once, the service goes on."""
-    watching(stage).list.fall()
-    stage.list.down = False
+    watching(stage).list.take_down()
+    stage.list.is_down = False
 
 
 def down(stage: Virtual) -> None:
     """The service resets whatever comes for eight seconds."""
-    watching(stage).list.fall()
+    watching(stage).list.take_down()
     stage.run(8 * SECOND)
-    stage.list.down = False
+    stage.list.is_down = False
 
 
 def silent(stage: Virtual) -> None:
@@ -77,7 +77,7 @@
     down(stage)
     for name in stage.services:
         address = ("10.2.0.1", 20_000 + int(name[1:]))
-        stage.list.open_for(name, address)
+        stage.list.listen_for(name, address)
         stage.services[name].follower.turn_to(address)
 
 
@@ -87,7 +87,7 @@
 def play(stage: Virtual, trouble: Callable[[Virtual], None]) -> Seen:
     trouble(stage)
     t0 = stage.now()
-    stage.list.change("s0", weight=2.0)
+    stage.list.change_server("s0", weight=2.0)
     wanted = stage.list.version
     had: dict[str, int] = {}
 
--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from thymedeck.lab.standins import Door
+from thymedeck.lab.standins import ListeningSocket
 from thymedeck.lab.world import Machine, World
 from thymedeck.net.connection import Connection
 from thymedeck.net.loop import Loop
@@ -91,7 +91,7 @@
         self.script = script
         self.asked = self.since = self.silence = self.had = 0
         self.trouble: tuple[str, float] | None = None
-        self.doors: dict[tuple[str, int], Door] = {}
+        self.doors: dict[tuple[str, int], ListeningSocket] = {}
         self.ground = self.turn(Loop(self.fault, 4096, Machine(self.world, LIST[0])))
         self.open_doors()
         env = msgspec.json.decode(msgspec.json.encode(SETTINGS))
@@ -123,7 +123,7 @@
     def open_doors(self) -> None:
         for address in (LIST, MOVED):
             if address not in self.doors:
-                self.doors[address] = Door(self.ground, address, self.take)
+                self.doors[address] = ListeningSocket(self.ground, address, self.take)
 
     def take(self, sock: object, source: tuple[str, int]) -> None:
         self.world.delay_ns = DELAY_NS
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -11,7 +11,7 @@
 from thymedeck.lab import checks
 from thymedeck.lab.play import EFFECTS, settings
 from thymedeck.lab.stage import SECOND, Processes, Stage, Virtual
-from thymedeck.lab.standins import Listed
+from thymedeck.lab.standins import ListedServer
 from thymedeck.net.clients import Client
 from thymedeck.net.service import TOLD_AT_ONCE, Service
 from thymedeck.net.told import Listing
@@ -30,7 +30,7 @@
 def list_part(stage: Stage, every: int, **more: object) -> None:
     """The list tells this of every so-manieth server, in one answer."""
     part = list(stage.list.servers.values())[::every]
-    stage.list.set(*(msgspec.structs.replace(one, **more) for one in part))
+    stage.list.update_servers(*(msgspec.structs.replace(one, **more) for one in part))
 
 
 def restart_half(stage: Processes) -> None:
@@ -47,7 +47,7 @@
 
 def hang_half(stage: Processes) -> None:
     for server in list(stage.servers.values())[::2]:
-        server.silent = True
+        server.is_silent = True
 
 
 def stop_a_third(stage: Processes) -> None:
@@ -74,23 +74,23 @@
         for at in range(SERVERS):
             stage.add_server(f"s{at}", work=0)
         stage.known = [
-            Listed(f"s{at}", zone="ab"[at % 2], kind=f"m{1 + at // 2 % 2}", cell=at // 4)
+            ListedServer(f"s{at}", zone="ab"[at % 2], kind=f"m{1 + at // 2 % 2}", cell=at // 4)
             for at in range(SERVERS)
         ]
-        stage.list.set(*stage.known)
+        stage.list.update_servers(*stage.known)
         stage.start("b0")
         stage.started("b0")
         crowd = stage.add_crowd(1, RATE, 3 * SECOND, ("chat", "once"), DEADLINE)
         assert stage.run_until(lambda: bool(stage.record.of("list answer")), 6 * SECOND)
         trouble(stage)
         stage.run(4 * SECOND)
-        crowd.stopped = True
+        crowd.is_stopped = True
         stage.run(4 * SECOND)
         entries, end, log = stage.record.entries, stage.now(), stage.log("b0")
     assert len(stage.record.of("client line")) > RATE * 3
-    assert not checks.one_answer(entries, end)
-    assert not checks.no_effect_twice(entries, EFFECTS)
-    assert not checks.drains_kept(entries, DRAIN_GRACE)
+    assert not checks.check_answers(entries, end)
+    assert not checks.check_effects(entries, EFFECTS)
+    assert not checks.check_drains(entries, DRAIN_GRACE)
     assert not [one for one in log if one["event"] in ("fault", "text", "unanswered")]
     told = [one["version"] for one in stage.record.of("list answer")]
     assert stage.list.version in told  # it heard of all changes
@@ -125,7 +125,9 @@
     stage = Virtual(1, settings(FLEET, ["m1", "m2"], ["a", "b"]))
     now_ms = stage.ground.time_ns() / 1_000_000
     stage.known = [
-        Listed(f"s{at}", zone="ab"[at % 2], kind=f"m{1 + at // 2 % 2}", started_ms=0 if at % 3 else now_ms)
+        ListedServer(
+            f"s{at}", zone="ab"[at % 2], kind=f"m{1 + at // 2 % 2}", started_ms=0 if at % 3 else now_ms
+        )
         for at in range(servers)
     ]
     stage.start("b0")
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -118,36 +118,36 @@
 
 
 VIOLATIONS = {
-    "no answer": (checks.one_answer, [LINE | {"at": 0}], {"end": 10**6}),
+    "no answer": (checks.check_answers, [LINE | {"at": 0}], {"end": 10**6}),
     "a late answer": (
-        checks.one_answer, [LINE | {"at": 0}, told(5000, "client answer", word="UP")], {"end": 10**6},
+        checks.check_answers, [LINE | {"at": 0}, told(5000, "client answer", word="UP")], {"end": 10**6},
     ),
     "two answers": (
-        checks.one_answer, [LINE | {"at": 0}] + 2 * [told(5, "client answer", word="UP")], {"end": 10**6},
+        checks.check_answers, [LINE | {"at": 0}] + 2 * [told(5, "client answer", word="UP")], {"end": 10**6},
     ),
     "more after a refusal": (
-        checks.one_answer,
+        checks.check_answers,
         [LINE | {"at": 0}, told(5, "client answer", word="BUSY"), told(6, "client more", line="UP")],
         {"end": 10**6},
     ),
     "once-only at two servers": (
-        checks.no_effect_twice,
+        checks.check_effects,
         [LINE | {"at": 0}, told(1, "server line"), told(2, "server answer", answer="lost"),
          told(3, "server end"), told(4, "server line", server="s1")],
         {"effects": {"once": "once"}},
     ),
     "two lines out": (
-        checks.no_effect_twice,
+        checks.check_effects,
         [told(1, "server line"), told(4, "server line", server="s1")],
         {"effects": {}},
     ),
     "a dial after the grace": (
-        checks.drains_kept,
+        checks.check_drains,
         [told(0, "list answer", status=200, told=[("s0", "DRAINING")]), told(30_000, "server line")],
         {"grace": 20_000},
     ),
     "a rush on a cold server": (
-        checks.cold_spared,
+        checks.check_cold_budgets,
         [told(0, "cold", budget=3, window=100, until=1000)]
         + [told(at, "server line") for at in (50, 60, 99, 101)],
         {},
@@ -170,7 +170,7 @@
         LINE | {"at": 0}, told(1, "server line"), told(2, "server answer", answer="BUSY"),
         told(3, "server end"), told(4, "server line", server="s1"),
     ]  # fmt: skip
-    assert not checks.no_effect_twice(entries, {"once": "once"})
+    assert not checks.check_effects(entries, {"once": "once"})
 
 
 @pytest.mark.parametrize(
--- a/thymedeck/lab/play.py
+++ b/thymedeck/lab/play.py
@@ -9,7 +9,7 @@
 from . import checks
 from .scenario import Deed, Scenario
 from .stage import SECOND, Processes, Stage, Virtual
-from .standins import Listed
+from .standins import ListedServer
 
 EFFECTS = {"chat": "repeatable", "once": "once"}
 CALM = 5 * SECOND  # after the length, for what is under way to be answered
@@ -72,8 +72,8 @@
             for _ in range(group.count):
                 ident = f"s{len(made)}"
                 stage.add_server(ident, limit=group.limit, work=figure(group.work, TIMES))
-                made.append(Listed(ident, zone=group.zone, kind=group.kind))
-        stage.list.set(*made)
+                made.append(ListedServer(ident, zone=group.zone, kind=group.kind))
+        stage.list.update_servers(*made)
         if sheet.list_service.known:
             stage.known = made
         if sheet.list_service.capacity:
@@ -108,7 +108,7 @@
                 if stage.run_until(self.agree, scenario.agree_within):
                     self.agreed_at = stage.now() - since
             for crowd in stage.crowds:
-                crowd.stopped = True
+                crowd.is_stopped = True
             stage.run(CALM)
             return self.check()
         finally:
@@ -132,42 +132,44 @@
     def do_to_list(self, what: str) -> None:
         service = self.stage.list
         if what == "down":
-            service.fall()
+            service.take_down()
         elif what == "up":
-            service.down = False
+            service.is_down = False
         elif what == "stale":
-            service.stale = dict(service.servers)
+            service.stale_servers = dict(service.servers)
         elif what == "wrong":
-            service.wrong = True
+            service.sends_malformed_body = True
         else:
-            service.stale, service.wrong = None, False
+            service.stale_servers, service.sends_malformed_body = None, False
 
     def do_to_server(self, deed: Deed, name: str) -> None:
         stage = self.stage
         server = stage.servers[name]
         match deed.what:
             case "drain":
-                server.draining = True
-                stage.list.change(name, state="DRAINING")
+                server.is_draining = True
+                stage.list.change_server(name, state="DRAINING")
             case "leave" | "kill":
                 if deed.what == "leave":
-                    stage.list.change(name, state="DELETED")
+                    stage.list.change_server(name, state="DELETED")
                 server.stop()
             case "cold":
                 # It comes back under its name, and the list tells when it started.
                 server.stop()
-                server.draining = server.silent = server.fallen = False
+                server.is_draining = server.is_silent = server.has_failed = False
                 stage.open_server(server)
                 server.start_cold(deed.budget, 8 * SECOND)
-                stage.list.change(name, state="SERVING", started_ms=stage.loop.system.time_ns() / 1_000_000)
+                stage.list.change_server(
+                    name, state="SERVING", started_ms=stage.loop.system.time_ns() / 1_000_000
+                )
             case "silent":
-                server.silent = True
+                server.is_silent = True
             case "lose answers":
                 server.lose_answers = True
             case "reset lines":
                 server.reset_lines = True
             case "well":
-                server.silent = server.lose_answers = server.reset_lines = False
+                server.is_silent = server.lose_answers = server.reset_lines = False
 
     # The end
 
@@ -187,10 +189,12 @@
         entries = stage.record.entries
         lines, dials = len(stage.record.of("client line")), len(stage.record.of("server line"))
         rows = [
-            Row("one final answer in time", lines, checks.one_answer(entries, stage.now())),
-            Row("no effect twice", dials, checks.no_effect_twice(entries, EFFECTS)),
-            Row("drains kept", dials, checks.drains_kept(entries, scenario.grace)),
-            Row("no cold server pushed over", len(stage.record.of("cold")), checks.cold_spared(entries)),
+            Row("one final answer in time", lines, checks.check_answers(entries, stage.now())),
+            Row("no effect twice", dials, checks.check_effects(entries, EFFECTS)),
+            Row("drains kept", dials, checks.check_drains(entries, scenario.grace)),
+            Row(
+                "no cold server pushed over", len(stage.record.of("cold")), checks.check_cold_budgets(entries)
+            ),
         ]
         faults = [f"{name}: {one}"[:300] for name in self.names for one in stage.log(name) if is_fault(one)]
         rows.append(Row("no fault logged", len(self.names), faults))
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -31,7 +31,7 @@
 from ..peers.words import Came, Event, Send, Tick
 from .faults import Faults
 from .records import Record
-from .standins import Crowd, Door, Listed, ListService, Server
+from .standins import ClientGroup, ListedServer, ListeningSocket, ListService, Server
 from .talk import stated
 from .world import Machine, World
 
@@ -54,8 +54,8 @@
         self.faults = Faults(seed)
         self.list = ListService(loop, self.record, self.address_for)
         self.servers: dict[str, Server] = {}
-        self.known: list[Listed] = []  # told to balancers as the list of before
-        self.crowds: list[Crowd] = []
+        self.known: list[ListedServer] = []  # told to balancers as the list of before
+        self.crowds: list[ClientGroup] = []
         self.alive: set[str] = set()
 
     def now(self) -> int:
@@ -66,10 +66,12 @@
         self.open_server(server)
         return server
 
-    def add_crowd(self, seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int) -> Crowd:
-        crowd = Crowd(self.loop, self.record, self.doors, seed, rate, life, classes, deadline)
+    def add_crowd(
+        self, seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int
+    ) -> ClientGroup:
+        crowd = ClientGroup(self.loop, self.record, self.doors, seed, rate, life, classes, deadline)
         self.crowds.append(crowd)
-        crowd.start()
+        crowd.schedule_arrival()
         return crowd
 
     def doors(self) -> list[tuple[str, tuple[str, int]]]:
@@ -154,7 +156,7 @@
         return self.hosts[name]
 
     def open_server(self, server: Server) -> None:
-        server.listen((self.host(server.ident), 8000), lambda source: self.world.name_of(source[0]))
+        server.listen((self.host(server.server_id), 8000), lambda source: self.world.name_of(source[0]))
 
     def address_for(self, server: str, balancer: str) -> str:
         return f"{self.host(server)}:8000"
@@ -166,8 +168,8 @@
 
     def list_at(self, name: str) -> tuple[str, int]:
         port = 10_000 + int(name[1:])
-        if name not in self.list.doors:
-            self.list.open_for(name, ("10.2.0.1", port))
+        if name not in self.list.listening_sockets:
+            self.list.listen_for(name, ("10.2.0.1", port))
         return "10.2.0.1", port
 
     def peers_stated(self, name: str) -> Stated:
@@ -311,7 +313,7 @@
         self.source = source
         self.target = target
         self.to = to
-        self.door = Door(stage.loop, ("127.0.0.1", 0), self.take)
+        self.door = ListeningSocket(stage.loop, ("127.0.0.1", 0), self.take)
 
     def take(self, sock: object, source: tuple[str, int]) -> None:
         near = Pipe(self, sock, self.source, self.target)
@@ -388,8 +390,9 @@
         self.errors.append(error)
 
     def open_server(self, server: Server) -> None:
-        self.server_at[server.ident] = server.listen(
-            self.server_at.get(server.ident) or self.free_port(), lambda source: self.sources.pop(source, "?")
+        self.server_at[server.server_id] = server.listen(
+            self.server_at.get(server.server_id) or self.free_port(),
+            lambda source: self.sources.pop(source, "?"),
         )
 
     def way(self, source: str, target: str, to: tuple[str, int]) -> tuple[str, int]:
@@ -415,9 +418,9 @@
         return self.way("clients", name, self.listen_at(name))
 
     def list_at(self, name: str) -> tuple[str, int]:
-        if name not in self.list.doors:
-            self.list.open_for(name, ("127.0.0.1", 0))
-        return self.way(name, "list", self.list.doors[name].address)
+        if name not in self.list.listening_sockets:
+            self.list.listen_for(name, ("127.0.0.1", 0))
+        return self.way(name, "list", self.list.listening_sockets[name].address)
 
     def write_peers(self, name: str) -> Path:
         """The relays for datagrams stand before their balancers, under addresses that stay."""
@@ -489,8 +492,8 @@
         """So many, with one server that the list names; returns their names once they take clients in."""
         names = [f"b{at}" for at in range(balancers)]
         self.add_server("s0")
-        self.known = [Listed("s0")]
-        self.list.set(*self.known)
+        self.known = [ListedServer("s0")]
+        self.list.update_servers(*self.known)
         for name in names:
             self.start(name)
         self.started(*names)
@@ -558,8 +561,8 @@
         for process in self.running.values():
             process.wait()
         for door in [
-            *self.list.doors.values(),
-            *(door for one in self.servers.values() for door in one.doors),
+            *self.list.listening_sockets.values(),
+            *(door for one in self.servers.values() for door in one.listening_sockets),
         ]:
             door.close()
         for relay in self.relays.values():
--- a/thymedeck/lab/standins.py
+++ b/thymedeck/lab/standins.py
@@ -1,7 +1,8 @@
-"""Stand-ins for what a balancer meets: the list service, servers and clients, on one loop of either world.
+"""Stand-ins for a balancer's environment: the list service, servers and clients, on one event loop.
 
-Each keeps to the operators' protocol as written there and notes every line, dial and answer in the record.
-What goes wrong with them is set by their attributes while a play runs.
+They run on real sockets or in virtual time, speak the documented protocol, and record each line, dial and
+answer. A test injects faults by setting their attributes during a run. Times are whole tenths of a
+millisecond.
 """
 
 import random
@@ -17,47 +18,47 @@
 from .records import Record
 
 SECOND = 10_000
-LINE_EVERY = 2 * SECOND  # from a client that stands
+LINE_INTERVAL = 2 * SECOND  # between two lines of a client with an established session
 BACKLOG = 1024
 
 
-class Door:
-    """A listening socket; each that comes is given to `take` with the address that it comes from."""
+class ListeningSocket:
+    """A listening socket; calls `on_accept` with each accepted socket and its remote address."""
 
-    def __init__(self, loop: Loop, address: tuple[str, int], take: Callable) -> None:
+    def __init__(self, loop: Loop, address: tuple[str, int], on_accept: Callable) -> None:
         self.loop = loop
-        self.take = take
+        self.on_accept = on_accept
         self.sock = loop.system.listen(address, BACKLOG)
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
         loop.watch(self.sock, 0, READ, self)
-        self.open = True
+        self.is_open = True
 
     def ready(self, mask: int) -> None:
-        while self.open:
+        while self.is_open:
             try:
                 sock, source = self.sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionError):
                 return
-            self.take(sock, source)
+            self.on_accept(sock, source)
 
     def close(self) -> None:
-        if self.open:
-            self.open = False
+        if self.is_open:
+            self.is_open = False
             self.loop.watch(self.sock, READ, 0, self)
             self.sock.close()
 
 
-class Speaker(Connection):
-    """Reads line by line."""
+class LineConnection(Connection):
+    """A connection that reads lines ending in CR LF."""
 
     def __init__(self, loop: Loop, sock: object) -> None:
         super().__init__(loop, sock)
-        self.part = b""
+        self.partial_line = b""
         self.await_more()
 
     def on_bytes(self, count: int) -> None:
-        *lines, self.part = (self.part + self.inbound.take()).split(b"\r\n")
+        *lines, self.partial_line = (self.partial_line + self.inbound.take()).split(b"\r\n")
         for line in lines:
             if self.open:
                 self.on_line(line)
@@ -72,10 +73,12 @@
         self.close()
 
 
-# The list
+# List service
+
 
+class ListedServer(Struct, frozen=True):
+    """A server as the list service reports it; the field names are keys of the response."""
 
-class Listed(Struct, frozen=True):
     id: str
     zone: str = "a"
     kind: str = "m1"
@@ -85,7 +88,9 @@
     started_ms: float = 0.0
 
 
-class ListCall(Speaker):
+class ListRequest(LineConnection):
+    """One HTTP request from a balancer to the list service."""
+
     def __init__(self, service: "ListService", sock: object, balancer: str) -> None:
         self.service = service
         self.balancer = balancer
@@ -93,361 +98,396 @@
 
     def on_line(self, line: bytes) -> None:
         if line.startswith(b"GET "):
-            self.service.called(self, line.split(b" ")[1].decode())
+            self.service.on_request(self, line.split(b" ")[1].decode())
 
     def reply(self, status: int, body: bytes) -> None:
         if self.open:
             reason = {200: b"OK", 503: b"Service Unavailable"}[status]
-            answer = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s" % (status, reason, len(body), body)
-            if len(answer) > self.outbound.room:
-                # An answer that does not fit the ring would be dropped whole.
-                waiting = self.outbound.take()
-                self.outbound = Ring(len(waiting) + len(answer))
-                self.outbound.put(waiting)
-            self.say(answer)
+            response = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s" % (status, reason, len(body), body)
+            if len(response) > self.outbound.room:
+                # A response that does not fit the ring buffer would be dropped as a whole.
+                queued = self.outbound.take()
+                self.outbound = Ring(len(queued) + len(response))
+                self.outbound.put(queued)
+            self.say(response)
 
 
 class ListService:
-    """Works through calls in turn, so many a second; what would wait too long is answered 503."""
+    """Serves requests one after another at a limited rate; answers 503 to those that would wait too long."""
 
     def __init__(
         self, loop: Loop, record: Record, address_for: Callable[[str, str], str], capacity: float = 0.0
     ) -> None:
-        """`address_for(server, balancer)`: under which that balancer reaches it; `capacity` 0: unbounded."""
+        """`address_for(server, balancer)` is the address at which that balancer reaches the server.
+
+        `capacity` is in requests per second; 0 means unlimited.
+        """
         self.loop = loop
         self.record = record
         self.address_for = address_for
         self.capacity = capacity
-        self.refusal_cost = 0.0  # of answering, for each 503
-        self.patience = SECOND
+        self.refusal_cost = 0.0  # cost of a 503 as a fraction of the cost of an answer
+        self.max_queue_time = SECOND
         self.version = 1
-        self.servers: dict[str, Listed] = {}
-        self.changed: dict[str, int] = {}  # the version that brought each
+        self.servers: dict[str, ListedServer] = {}
+        self.changed_in_version: dict[str, int] = {}  # by server: the version of its last change
         self.free_at = 0
-        self.down = False  # resets whatever comes
-        self.stale: dict[str, Listed] | None = None  # told instead
-        self.wrong = False  # answers what is no list
-        self.watches: list[tuple[ListCall, int, object]] = []
-        self.doors: dict[str, Door] = {}
-
-    def open_for(self, balancer: str, address: tuple[str, int]) -> tuple[str, int]:
-        self.doors[balancer] = Door(self.loop, address, lambda sock, _: ListCall(self, sock, balancer))
-        return self.doors[balancer].address
-
-    def set(self, *servers: Listed) -> None:
+        self.is_down = False  # resets each connection
+        self.stale_servers: dict[str, ListedServer] | None = None  # sent in place of `servers` if set
+        self.sends_malformed_body = False
+        self.watches: list[tuple[ListRequest, int, object]] = []  # requests waiting for a newer version
+        self.listening_sockets: dict[str, ListeningSocket] = {}
+
+    def listen_for(self, balancer: str, address: tuple[str, int]) -> tuple[str, int]:
+        """Listens for one balancer's requests; returns the bound address."""
+        self.listening_sockets[balancer] = ListeningSocket(
+            self.loop, address, lambda sock, _: ListRequest(self, sock, balancer)
+        )
+        return self.listening_sockets[balancer].address
+
+    def update_servers(self, *servers: ListedServer) -> None:
+        """Adds or replaces servers under a new version and answers the waiting requests."""
         self.version += 1
         for server in servers:
             self.servers[server.id] = server
-            self.changed[server.id] = self.version
-        self.record.note("listed", servers=[(one.id, one.state) for one in servers], version=self.version)
-        if self.stale is None:
+            self.changed_in_version[server.id] = self.version
+        self.record.note(
+            "listed", servers=[(entry.id, entry.state) for entry in servers], version=self.version
+        )
+        if self.stale_servers is None:
             watches, self.watches = self.watches, []
-            for call, index, due in watches:
-                due.cancel()
-                self.answer(call, index)
+            for request, index, timer in watches:
+                timer.cancel()
+                self.answer(request, index)
 
-    def change(self, ident: str, **more: object) -> None:
-        self.set(structs.replace(self.servers[ident], **more))
+    def change_server(self, server_id: str, **fields: object) -> None:
+        self.update_servers(structs.replace(self.servers[server_id], **fields))
 
-    def fall(self) -> None:
-        self.down = True
+    def take_down(self) -> None:
+        self.is_down = True
         watches, self.watches = self.watches, []
-        for call, _, due in watches:
-            due.cancel()
-            call.close(reset=True)
+        for request, _, timer in watches:
+            timer.cancel()
+            request.close(reset=True)
 
-    def called(self, call: ListCall, target: str) -> None:
+    def on_request(self, request: ListRequest, target: str) -> None:
         query = dict(pair.split("=") for pair in target.partition("?")[2].split("&") if pair)
         index, wait = int(query.get("index", -1)), int(query.get("wait", 0)) * 10
-        self.record.note("list call", balancer=call.balancer, index=index, wait=wait)
-        if self.down:
-            self.record.note("list answer", balancer=call.balancer, status=0, version=-1)
-            call.close(reset=True)
+        self.record.note("list call", balancer=request.balancer, index=index, wait=wait)
+        if self.is_down:
+            self.record.note("list answer", balancer=request.balancer, status=0, version=-1)
+            request.close(reset=True)
         elif wait and index >= self.version:
-            due = self.loop.after(wait, lambda: self.watch_over(call))
-            self.watches.append((call, index, due))
+            timer = self.loop.after(wait, lambda: self.on_watch_timeout(request))
+            self.watches.append((request, index, timer))
         elif not self.capacity:
-            self.answer(call, index)
+            self.answer(request, index)
         else:
-            self.queue(call, index)
+            self.enqueue(request, index)
 
-    def queue(self, call: ListCall, index: int) -> None:
+    def enqueue(self, request: ListRequest, index: int) -> None:
         now, cost = self.loop.now(), SECOND / self.capacity
         self.free_at = max(self.free_at, now)
-        if self.free_at - now > self.patience:
+        if self.free_at - now > self.max_queue_time:
             self.free_at += int(cost * self.refusal_cost)
-            self.loop.after(self.patience, lambda: self.refuse(call))
+            self.loop.after(self.max_queue_time, lambda: self.refuse(request))
             return
         self.free_at += int(cost)
-        self.loop.after(self.free_at - now, lambda: self.answer(call, index))
+        self.loop.after(self.free_at - now, lambda: self.answer(request, index))
 
-    def refuse(self, call: ListCall) -> None:
-        self.record.note("list answer", balancer=call.balancer, status=503, version=-1)
-        call.reply(503, b"")
+    def refuse(self, request: ListRequest) -> None:
+        self.record.note("list answer", balancer=request.balancer, status=503, version=-1)
+        request.reply(503, b"")
 
-    def watch_over(self, call: ListCall) -> None:
-        self.watches = [one for one in self.watches if one[0] is not call]
-        self.answer(call, self.version)
+    def on_watch_timeout(self, request: ListRequest) -> None:
+        self.watches = [watch for watch in self.watches if watch[0] is not request]
+        self.answer(request, self.version)
 
-    def answer(self, call: ListCall, index: int) -> None:
-        if self.down or not call.open:
-            self.record.note("list answer", balancer=call.balancer, status=0, version=-1)
-            call.close(reset=True)
+    def answer(self, request: ListRequest, index: int) -> None:
+        if self.is_down or not request.open:
+            self.record.note("list answer", balancer=request.balancer, status=0, version=-1)
+            request.close(reset=True)
             return
-        servers = self.servers if self.stale is None else self.stale
+        servers = self.servers if self.stale_servers is None else self.stale_servers
         full = index < 0 or index > self.version
         rows = [
-            structs.asdict(one) | {"addr": self.address_for(one.id, call.balancer)}
-            for one in servers.values()
-            if full or self.changed.get(one.id, 0) > index
+            structs.asdict(server) | {"addr": self.address_for(server.id, request.balancer)}
+            for server in servers.values()
+            if full or self.changed_in_version.get(server.id, 0) > index
         ]
         body = orjson.dumps({"version": self.version, "full": full, "servers": rows})
         self.record.note(
-            "list answer", balancer=call.balancer, status=200, version=self.version, full=full,
-            told=[(row["id"], row["state"]) for row in rows], stale=self.stale is not None,
+            "list answer", balancer=request.balancer, status=200, version=self.version, full=full,
+            told=[(row["id"], row["state"]) for row in rows], stale=self.stale_servers is not None,
         )  # fmt: skip
-        call.reply(200, b"{" if self.wrong else body)
+        request.reply(200, b"{" if self.sends_malformed_body else body)
 
 
 # Servers
 
 
-class Served(Speaker):
-    """One connection at a server, a balancer's."""
+class ServerConnection(LineConnection):
+    """A balancer's connection to a server; carries one session."""
 
     def __init__(self, server: "Server", sock: object, balancer: str) -> None:
         self.server = server
         self.balancer = balancer
-        self.ident = ""
-        self.up = False
+        self.session_id = ""
+        self.is_up = False
         super().__init__(server.loop, sock)
 
     def on_line(self, line: bytes) -> None:
-        if not self.ident and line.startswith(b"OPEN "):
-            self.ident = line.split(b" ")[1].decode()
-            self.server.opened(self, line.decode("latin-1"))
-        elif self.up and line == b"QUIT":
+        if not self.session_id and line.startswith(b"OPEN "):
+            self.session_id = line.split(b" ")[1].decode()
+            self.server.on_open_line(self, line.decode("latin-1"))
+        elif self.is_up and line == b"QUIT":
             self.say(b"BYE\r\n")
             self.end_sending()
-        elif self.up and not self.server.silent:
+        elif self.is_up and not self.server.is_silent:
             self.say(line + b"\r\n")
 
     def close(self, reset: bool = False) -> None:
         if self.open:
             super().close(reset)
-            self.server.gone(self)
+            self.server.on_closed(self)
 
 
 class Server:
-    """Takes so many connections, each set-up after its work in turn; cold at first, it falls under a rush."""
+    """A server with a session limit that sets up one session at a time.
+
+    While it is cold, a burst of dials above its budget makes it fail.
+    """
 
-    def __init__(self, loop: Loop, record: Record, ident: str, limit: int = 1 << 30, work: int = 50) -> None:
+    def __init__(
+        self, loop: Loop, record: Record, server_id: str, limit: int = 1 << 30, work: int = 50
+    ) -> None:
+        """`limit`: sessions at a time; `work`: time that one set-up takes."""
         self.loop = loop
         self.record = record
-        self.ident = ident
+        self.server_id = server_id
         self.limit = limit
-        self.work = work  # for a set-up, in tenths of a millisecond
-        self.started = -(1 << 40)
-        self.draining = False
-        self.silent = False  # takes all and says nothing
-        self.lose_answers = False  # runs what comes, and ends it with no answer
-        self.reset_lines = False
+        self.work = work
+        self.started_at = -(1 << 40)
+        self.is_draining = False
+        self.is_silent = False  # accepts connections and sends nothing
+        self.lose_answers = False  # runs each request but closes the connection without an answer
+        self.reset_lines = False  # resets the connection at its OPEN line
         self.busy_until = 0
-        self.open: dict[Served, None] = {}
-        self.rush: deque[int] = deque()  # dials while cold
-        self.budget = 0.0  # dials within `window` while cold above which it falls; 0: does not
+        self.connections: dict[ServerConnection, None] = {}
+        self.recent_dials: deque[int] = deque()  # times of dials while cold, within the window
+        self.budget = 0.0  # more dials than this within `window` while cold make it fail; 0: no limit
         self.window = 2 * SECOND
         self.cold_for = 0
-        self.fallen = False
-        self.doors: list[Door] = []
-
-    def listen(self, address: tuple[str, int], who: Callable[[tuple[str, int]], str]) -> tuple[str, int]:
-        door = Door(self.loop, address, lambda sock, source: self.take(sock, who(source)))
-        self.doors.append(door)
-        return door.address
-
-    def take(self, sock: object, balancer: str) -> None:
-        self.open[Served(self, sock, balancer)] = None
-
-    def gone(self, one: Served) -> None:
-        self.open.pop(one, None)
-        if one.ident:
-            self.record.note("server end", server=self.ident, id=one.ident, balancer=one.balancer)
+        self.has_failed = False
+        self.listening_sockets: list[ListeningSocket] = []
+
+    def listen(
+        self, address: tuple[str, int], balancer_at: Callable[[tuple[str, int]], str]
+    ) -> tuple[str, int]:
+        """`balancer_at` gives the name of the balancer that connects from an address."""
+        listening_socket = ListeningSocket(
+            self.loop, address, lambda sock, source: self.accept(sock, balancer_at(source))
+        )
+        self.listening_sockets.append(listening_socket)
+        return listening_socket.address
+
+    def accept(self, sock: object, balancer: str) -> None:
+        self.connections[ServerConnection(self, sock, balancer)] = None
+
+    def on_closed(self, connection: ServerConnection) -> None:
+        self.connections.pop(connection, None)
+        if connection.session_id:
+            self.record.note(
+                "server end", server=self.server_id, id=connection.session_id, balancer=connection.balancer
+            )
 
     def start_cold(self, budget: float, cold_for: int) -> None:
-        self.started, self.budget, self.cold_for = self.loop.now(), budget, cold_for
-        self.record.note("cold", server=self.ident, budget=budget, window=self.window, until=cold_for)
+        self.started_at, self.budget, self.cold_for = self.loop.now(), budget, cold_for
+        self.record.note("cold", server=self.server_id, budget=budget, window=self.window, until=cold_for)
 
-    def fall(self) -> None:
-        self.fallen = True
-        self.record.note("fell", server=self.ident)
+    def fail(self) -> None:
+        self.has_failed = True
+        self.record.note("fell", server=self.server_id)
         self.stop()
 
     def stop(self) -> None:
-        for door in self.doors:
-            door.close()
-        for one in list(self.open):
-            one.close(reset=True)
+        for listening_socket in self.listening_sockets:
+            listening_socket.close()
+        for connection in list(self.connections):
+            connection.close(reset=True)
 
-    def opened(self, one: Served, line: str) -> None:
+    def on_open_line(self, connection: ServerConnection, line: str) -> None:
         now = self.loop.now()
-        self.record.note("server line", server=self.ident, balancer=one.balancer, id=one.ident, line=line)
-        if now - self.started < self.cold_for:
-            self.rush.append(now)
-            while self.rush[0] <= now - self.window:
-                self.rush.popleft()
-            if self.budget and len(self.rush) > self.budget:
-                self.fall()
+        self.record.note(
+            "server line",
+            server=self.server_id,
+            balancer=connection.balancer,
+            id=connection.session_id,
+            line=line,
+        )
+        if now - self.started_at < self.cold_for:
+            self.recent_dials.append(now)
+            while self.recent_dials[0] <= now - self.window:
+                self.recent_dials.popleft()
+            if self.budget and len(self.recent_dials) > self.budget:
+                self.fail()
                 return
-        if self.silent:
+        if self.is_silent:
             return
         if self.reset_lines:
-            self.note(one, "reset")
-            one.close(reset=True)
+            self.record_answer(connection, "reset")
+            connection.close(reset=True)
         elif self.lose_answers:
-            self.note(one, "lost")
-            one.close()
-        elif self.draining or sum(other.up for other in self.open) >= self.limit:
-            self.note(one, "BUSY")
-            one.say(b"BUSY\r\n")
-            one.end_sending()
+            self.record_answer(connection, "lost")
+            connection.close()
+        elif self.is_draining or sum(other.is_up for other in self.connections) >= self.limit:
+            self.record_answer(connection, "BUSY")
+            connection.say(b"BUSY\r\n")
+            connection.end_sending()
         else:
             self.busy_until = max(self.busy_until, now) + self.work
-            self.loop.after(self.busy_until - now, lambda: self.rise(one))
+            self.loop.after(self.busy_until - now, lambda: self.accept_session(connection))
 
-    def note(self, one: Served, answer: str) -> None:
-        self.record.note("server answer", server=self.ident, id=one.ident, answer=answer)
+    def record_answer(self, connection: ServerConnection, answer: str) -> None:
+        self.record.note("server answer", server=self.server_id, id=connection.session_id, answer=answer)
 
-    def rise(self, one: Served) -> None:
-        if one.open and not self.silent:
-            one.up = True
-            self.note(one, "UP")
-            one.say(b"UP %s-%s\r\nLOAD 10000\r\n" % (self.ident.encode(), one.ident.encode()))
+    def accept_session(self, connection: ServerConnection) -> None:
+        if connection.open and not self.is_silent:
+            connection.is_up = True
+            self.record_answer(connection, "UP")
+            connection.say(
+                b"UP %s-%s\r\nLOAD 10000\r\n" % (self.server_id.encode(), connection.session_id.encode())
+            )
 
 
 # Clients
 
 
-class Crowd:
-    """Clients that come by chance, stay a while, and come again when they are moved, refused or cut off."""
+class ClientGroup:
+    """Clients that arrive at random, stay for a while, and retry when they are moved, refused or cut off."""
 
     def __init__(
         self, loop: Loop, record: Record, balancers: Callable[[], list[tuple[str, tuple[str, int]]]],
         seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int,
     ) -> None:  # fmt: skip
-        """`balancers` gives the names and addresses that a front would deal clients to now."""
+        """`balancers` gives the names and addresses to which a front end would currently send clients.
+
+        `rate` is in arrivals per second; `life` is how long a session lasts.
+        """
         self.loop = loop
         self.record = record
         self.balancers = balancers
-        chance = random.Random(seed)
-        self.bits, self.choice, self.uniform = chance.getrandbits, chance.choice, chance.uniform
-        self.expovariate = chance.expovariate
+        rng = random.Random(seed)
+        self.random_bits, self.choice, self.uniform = rng.getrandbits, rng.choice, rng.uniform
+        self.expovariate = rng.expovariate
         self.rate = rate
         self.life = life
         self.classes = classes
         self.deadline = deadline
         self.retries = 2
-        self.stopped = False
+        self.is_stopped = False
+
+    def schedule_arrival(self) -> None:
+        if not self.is_stopped:
+            self.loop.after(int(self.expovariate(self.rate) * SECOND), self.on_arrival)
 
-    def start(self) -> None:
-        if not self.stopped:
-            self.loop.after(int(self.expovariate(self.rate) * SECOND), self.arrive)
+    def on_arrival(self) -> None:
+        if not self.is_stopped:
+            self.open_session(self.choice(self.classes), self.retries)
+            self.schedule_arrival()
 
-    def arrive(self) -> None:
-        if not self.stopped:
-            self.come(self.choice(self.classes), self.retries)
-            self.start()
+    def open_session(self, kind: str, retries: int, is_retry: bool = False) -> None:
+        targets = self.balancers()
+        if targets and not self.is_stopped:
+            name, address = self.choice(targets)
+            client = Client(self, kind, name, retries)
+            client.open_session(address, is_retry)
 
-    def come(self, kind: str, retries: int, again: bool = False) -> None:
-        there = self.balancers()
-        if there and not self.stopped:
-            name, address = self.choice(there)
-            caller = Caller(self, kind, name, retries)
-            caller.call(address, again)
+    def retry(self, client: "Client", wait: int) -> None:
+        if client.retries > 0:
+            self.loop.after(wait, lambda: self.open_session(client.kind, client.retries - 1, is_retry=True))
 
-    def come_again(self, caller: "Caller", wait: int) -> None:
-        if caller.retries > 0:
-            self.loop.after(wait, lambda: self.come(caller.kind, caller.retries - 1, again=True))
 
+class Client(LineConnection):
+    """A client's connection to a balancer; carries one session."""
 
-class Caller(Speaker):
-    def __init__(self, crowd: Crowd, kind: str, balancer: str, retries: int) -> None:
-        self.crowd = crowd
+    def __init__(self, group: ClientGroup, kind: str, balancer: str, retries: int) -> None:
+        self.group = group
         self.kind = kind
         self.balancer = balancer
         self.retries = retries
-        self.ident = f"{crowd.bits(64):016x}"
-        self.answered = False
-        self.standing = False
-        self.sent = False
-        super().__init__(crowd.loop, crowd.loop.system.stream())
-
-    def call(self, address: tuple[str, int], again: bool) -> None:
-        crowd = self.crowd
-        figures = f"c={self.kind},d={crowd.deadline // 10}" + (",again=1" if again else "")
-        self.outbound.put(f"OPEN {self.ident} {crowd.bits(64):016x} {figures}\r\n".encode())
-        self.due = self.loop.after(crowd.deadline + 2 * SECOND, self.give_up)
+        self.session_id = f"{group.random_bits(64):016x}"
+        self.has_answer = False
+        self.is_established = False
+        self.has_sent_open = False
+        super().__init__(group.loop, group.loop.system.stream())
+
+    def open_session(self, address: tuple[str, int], is_retry: bool) -> None:
+        group = self.group
+        options = f"c={self.kind},d={group.deadline // 10}" + (",again=1" if is_retry else "")
+        self.outbound.put(f"OPEN {self.session_id} {group.random_bits(64):016x} {options}\r\n".encode())
+        self.timer = self.loop.after(group.deadline + 2 * SECOND, self.give_up)
         if self.connect(address):
             self.on_broken()
         else:
             self.await_more()
 
     def on_emptied(self) -> None:
-        if not self.sent:
-            self.sent = True
-            self.note("client line", kind=self.kind, deadline=self.crowd.deadline)
+        if not self.has_sent_open:
+            self.has_sent_open = True
+            self.record_event("client line", kind=self.kind, deadline=self.group.deadline)
 
-    def note(self, what: str, **more: object) -> None:
-        self.crowd.record.note(what, id=self.ident, balancer=self.balancer, **more)
+    def record_event(self, what: str, **fields: object) -> None:
+        self.group.record.note(what, id=self.session_id, balancer=self.balancer, **fields)
 
     def on_line(self, line: bytes) -> None:
         word = line.split(b" ")[0].decode("latin-1")
-        if not self.answered:
-            self.answered = True
-            self.due.cancel()
-            self.note("client answer", word=word, line=line.decode("latin-1"))
+        if not self.has_answer:
+            self.has_answer = True
+            self.timer.cancel()
+            self.record_event("client answer", word=word, line=line.decode("latin-1"))
             if word == "UP":
-                self.standing = True
-                self.due = self.loop.after(self.crowd.life, self.leave)
-                self.speak()
+                self.is_established = True
+                self.timer = self.loop.after(self.group.life, self.leave)
+                self.send_line()
             else:
-                self.crowd.come_again(self, int(self.crowd.uniform(0.05, 0.5) * SECOND))
-        elif not self.standing:
-            self.note("client more", line=line.decode("latin-1"))
+                self.group.retry(self, int(self.group.uniform(0.05, 0.5) * SECOND))
+        elif not self.is_established:
+            self.record_event("client more", line=line.decode("latin-1"))
         elif word == "MOVE":
-            self.standing = False
-            self.note("client moved")
-            self.crowd.come_again(self, int(self.crowd.uniform(0.01, 0.1) * SECOND))
+            self.is_established = False
+            self.record_event("client moved")
+            self.group.retry(self, int(self.group.uniform(0.01, 0.1) * SECOND))
             self.close()
 
-    def speak(self) -> None:
-        if self.open and self.standing:
+    def send_line(self) -> None:
+        if self.open and self.is_established:
             self.say(b"x\r\n")
-            self.loop.after(LINE_EVERY, self.speak)
+            self.loop.after(LINE_INTERVAL, self.send_line)
 
     def leave(self) -> None:
         if self.open:
-            self.standing = False
-            self.note("client leaves")
+            self.is_established = False
+            self.record_event("client leaves")
             self.close()
 
     def give_up(self) -> None:
         if self.open:
-            self.note("client gives up")
+            self.record_event("client gives up")
             self.close()
 
     def on_end(self) -> None:
         self.on_broken()
 
     def on_broken(self) -> None:
-        if self.standing:
-            self.crowd.come_again(self, int(self.crowd.uniform(0.05, 0.5) * SECOND))
-        elif not self.answered and not self.sent:
-            self.crowd.come_again(self, int(self.crowd.uniform(0.2, 1.0) * SECOND))
-        self.standing = False
-        self.note("client cut")
+        if self.is_established:
+            self.group.retry(self, int(self.group.uniform(0.05, 0.5) * SECOND))
+        elif not self.has_answer and not self.has_sent_open:
+            self.group.retry(self, int(self.group.uniform(0.2, 1.0) * SECOND))
+        self.is_established = False
+        self.record_event("client cut")
         self.close()
 
     def close(self, reset: bool = False) -> None:
-        self.due.cancel()
+        self.timer.cancel()
         super().close(reset)
