--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from thymedeck import interface as own
-from thymedeck.lab.cold import LISTENER, SITE
+from thymedeck.lab.cold import DEPLOYMENT, LISTENER
 from thymedeck.policy.balancer import CAP, Balancer, Session
 from thymedeck.policy.candidates import ColdGroup, Group, Key, Stage
 from thymedeck.policy.server import FADE, SECOND, Server
@@ -28,7 +28,9 @@
     def __init__(self, seed: int, probes: bool) -> None:
         self.chance = random.Random(seed)
         listeners = (LISTENER, *SCOPES)
-        site = replace(SITE, listeners=listeners, replicas=3, may_probe=probes, crossing_price=0.1 * probes)
+        site = replace(
+            DEPLOYMENT, listeners=listeners, replicas=3, may_probe=probes, crossing_price=0.1 * probes
+        )
         self.balancer = Balancer(seed, site)
         self.now = 100 * SECOND
         self.next_sess = 0
@@ -40,7 +42,7 @@
     def entry(self, at: int) -> own.Entry:
         chance = self.chance
         state = chance.choice([own.State.READY] * 4 + [own.State.DRAINING, own.State.GONE])
-        started = chance.choice([0, 0, 1, self.now, self.now - SITE.warm_after - SECOND])
+        started = chance.choice([0, 0, 1, self.now, self.now - DEPLOYMENT.warm_after - SECOND])
         return own.Entry(at, at % 2, at // 4, state, started, chance.choice([1e-6, 0.5, 1.0, 1e9]), at % 3)
 
     def tell(self, event: own.Event) -> None:
@@ -191,7 +193,7 @@
 
 # Guards against cold servers with room being drawn without regard to weights and kinds of machine.
 def test_cold_servers_are_drawn_by_weight_and_kind() -> None:
-    site = replace(SITE, replicas=1, promised=1e6)
+    site = replace(DEPLOYMENT, replicas=1, promised=1e6)
     balancer = Balancer(1, site)
     now = 100 * SECOND
     weights = {0: 1.0, 1: 3.0, 2: 1.0}
@@ -211,7 +213,7 @@
 
 # Guards against a zone that is cut off being kept in use, as if the fault were the balancer's own.
 def test_another_zone_is_taken_out_while_the_own_one_is_well() -> None:
-    balancer = Balancer(1, SITE)
+    balancer = Balancer(1, DEPLOYMENT)
     listed = [own.Entry(at, int(at > 0), 0, own.State.READY, 0) for at in range(4)]
     balancer.handle(SECOND, own.ServerList(own.ListKind.SAVED, listed))
     for at in (1, 2, 3):
@@ -222,7 +224,7 @@
 
 
 def test_a_server_that_holds_nothing_has_the_sum_zero_whatever_the_rounding() -> None:
-    balancer = Balancer(1, SITE)
+    balancer = Balancer(1, DEPLOYMENT)
     balancer.handle(SECOND, own.ServerList(own.ListKind.SAVED, [own.Entry(0, 0, 0, own.State.READY, 0)]))
     loads = [0.1, 0.2, 0.3, 0.6]  # added and taken off in this order they leave 1e-16
     for sess, load in enumerate(loads):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,31 +1,43 @@
-"""What fleets send to cold servers together: by the decisions themselves in virtual time, by exact sums."""
+"""Dials of whole fleets to cold servers: simulated decisions in virtual time, and exact probabilities."""
 
 from math import ceil, comb, sqrt
 
 import pytest
 
-from thymedeck.lab.cold import BEGIN, SITE, Case, Fleet, bounds, play, tail
+from thymedeck.lab.cold import (
+    DEPLOYMENT,
+    START_TIME,
+    Case,
+    Fleet,
+    failure_bounds,
+    probability_of_at_least,
+    run_warm_up,
+)
 from thymedeck.policy import chance_for
 
 
-class Watched(Fleet):
-    """Asks after each session sent to a cold server that one balancer kept within its own part."""
+class ShareCheckingFleet(Fleet):
+    """Records by how much a balancer exceeds its own share of the budget of a cold server."""
 
-    most = 0  # sessions in a window of one balancer, over its part as it was
+    max_excess = 0  # sessions of one balancer in a window, less its share at that time
 
-    def come(self, who: int, now: int) -> int | None:
-        server = super().come(who, now)
-        if server is not None and server >= self.case.warm:
-            self.sent = [*getattr(self, "sent", ()), (now, who, server)]
-            window = [one for at, *one in self.sent if at > now - SITE.fall_window and one == [who, server]]
-            self.most = max(self.most, len(window) - ceil(self.parts(now)[who]))
+    def replace_session(self, index: int, now: int) -> int | None:
+        server = super().replace_session(index, now)
+        if server is not None and server >= self.case.warm_servers:
+            self.sent = [*getattr(self, "sent", ()), (now, index, server)]
+            window = [
+                pair
+                for at, *pair in self.sent
+                if at > now - DEPLOYMENT.fall_window and pair == [index, server]
+            ]
+            self.max_excess = max(self.max_excess, len(window) - ceil(self.budget_shares(now)[index]))
         return server
 
 
-def test_tail_is_the_binomial_one() -> None:
+def test_probability_matches_the_binomial_distribution() -> None:
     exact = sum(comb(9, k) * 0.3**k * 0.7 ** (9 - k) for k in range(4, 10))
-    assert tail([0.3] * 9, 4) == pytest.approx(exact)
-    assert tail([1.0, 1.0, 0.5], 3) == pytest.approx(0.5)
+    assert probability_of_at_least([0.3] * 9, 4) == pytest.approx(exact)
+    assert probability_of_at_least([1.0, 1.0, 0.5], 3) == pytest.approx(0.5)
 
 
 @pytest.mark.parametrize(
@@ -33,36 +45,38 @@
     [*(Case(n, 10) for n in (8, 20, 30, 200)), Case(30, 40), Case(200, 40), Case(200, 10, promised=10)],
     ids=str,
 )
-def test_under_one_warm_up_in_ten_thousand_falls(case: Case) -> None:
-    dense, rush = bounds(case, 1)
+def test_fewer_than_one_warm_up_in_ten_thousand_fails(case: Case) -> None:
+    dense, simultaneous = failure_bounds(case, 1)
     assert dense < 1e-4
-    assert rush < 1e-4
+    assert simultaneous < 1e-4
 
 
 @pytest.mark.parametrize(
-    "case", [Case(20, 10, "bursts", cold=5), Case(30, 40, "herd"), Case(8, 10), Case(2, 40)], ids=str
+    "case",
+    [Case(20, 10, "bursts", cold_servers=5), Case(30, 40, "herd"), Case(8, 10), Case(2, 40)],
+    ids=str,
 )
-def test_none_falls(case: Case) -> None:
+def test_no_cold_server_fails(case: Case) -> None:
     for seed in range(4):
-        fleet = Watched(case, seed)
-        assert fleet.play().fell == 0
-        assert fleet.most <= 0
+        fleet = ShareCheckingFleet(case, seed)
+        assert fleet.run().failed == 0
+        assert fleet.max_excess <= 0
 
 
-def test_parts_are_granted_as_often_as_stated() -> None:
-    """Many more dials than draws: what is sent is what the chances come to, and is not left unused."""
+def test_shares_are_used_as_often_as_their_probabilities_say() -> None:
+    """With many more dials than draws, the sessions sent match the expected value of the draws."""
     rounds, expected, sent = 10, 0.0, 0
     for seed in range(rounds):
-        fleet = Fleet(Case(30, 20, rate=120.0), seed)
-        for age in range(0, SITE.warm_after, SITE.warm_after // 20):
-            chances = sum(chance_for(part, 30) for part in fleet.parts(BEGIN + age))
-            expected += chances * SITE.warm_after / SITE.fall_window / 20
-        sent += fleet.play().sent
+        fleet = Fleet(Case(30, 20, arrivals_per_second=120.0), seed)
+        for age in range(0, DEPLOYMENT.warm_after, DEPLOYMENT.warm_after // 20):
+            probabilities = sum(chance_for(share, 30) for share in fleet.budget_shares(START_TIME + age))
+            expected += probabilities * DEPLOYMENT.warm_after / DEPLOYMENT.fall_window / 20
+        sent += fleet.run().sent
     assert abs(sent - expected) < 3 * sqrt(expected)
 
 
 @pytest.mark.parametrize("case, rounds, least", [(Case(200, 40), 2, 0.1), (Case(30, 10), 16, 0.35)], ids=str)
 def test_budgets_are_used(case: Case, rounds: int, least: float) -> None:
-    """Also where a balancer dials in about every other window, and where cold servers tie with warm ones."""
-    seen = [play(case, seed) for seed in range(rounds)]
-    assert sum(one.sent for one in seen) > least * sum(one.allowed for one in seen)
+    """Also where a balancer dials in about every other window, and where cold and warm servers rank alike."""
+    results = [run_warm_up(case, seed) for seed in range(rounds)]
+    assert sum(result.sent for result in results) > least * sum(result.allowed for result in results)
--- a/thymedeck/lab/cold.py
+++ b/thymedeck/lab/cold.py
@@ -1,9 +1,10 @@
-"""Warm-ups in virtual time: what a whole fleet sends to servers that have just started, against their budget.
+"""Warm-ups in virtual time: the dials that a whole fleet sends to servers that have just started.
 
-Real decisions (`Balancer`) and nothing else: dials stand at once, and as one session comes another ends, so
-that what is held stays. N is what the settings allow in a window, by what servers hold over the whole fleet
-or, where more, by what is promised (at least one session). A server falls over in a window with more than
-N + 2 root N + 2 sessions; the column marked (3) has 3 in both places, as the operators' bench still had it.
+Runs the real decisions (`Balancer`) and nothing else: dials succeed at once, and each session that arrives
+ends another one, so that the number of open sessions stays the same. N is the number of dials that the
+settings allow in a window, from the sessions per server over the whole fleet or, where that is more, from the
+promised sessions (at least one session). A server fails in a window with more than N + 2 sqrt(N) + 2 dials;
+the column marked (3) has 3 in both places, the limit of an earlier version of the operators' bench.
 """
 
 import argparse
@@ -22,251 +23,306 @@
 from ..policy import SECOND, Balancer, chance_for
 
 LISTENER = own.Listener(3000, 12000, own.Effect.REPEATABLE, own.Scope.ALL, 50000, 1.0, 500)
-SITE = own.Deployment(
+DEPLOYMENT = own.Deployment(
     listeners=(LISTENER,), zone=0, replicas=1, tick=20, connect_timeout=1500, max_dials=4, may_probe=False,
     come_back_max=0, list_on_request=False, ask_within=100000, cold_share=0.3, warm_after=88000,
     fall_multiple=2.5, fall_window=20000, present_load=True, tells_delay=True, passes_through=False,
     crossing_price=0.0, drain_grace=20000, promised=0.0,
 )  # fmt: skip
-BEGIN = 100 * SECOND  # warm servers started long before
-ARRIVALS = ("even", "skewed", "bursts", "herd")
-BURST = SECOND / 20
+START_TIME = 100 * SECOND  # late enough that servers started at 1 are warm
+ARRIVAL_PATTERNS = ("even", "skewed", "bursts", "herd")
+BURST_LENGTH = SECOND / 20
 
 
 class Case(Struct, frozen=True):
-    """`held` sessions stand on each warm server; `rate` come a second over the fleet; all are alike."""
+    """Parameters of a warm-up: the size of the fleet and its load. All servers are alike."""
 
     balancers: int
-    held: int
-    arrivals: str = "even"
-    warm: int = 20
-    cold: int = 1
-    rate: float = 60.0
-    promised: int = 0  # for each server
+    sessions_per_server: int  # on each warm server
+    arrivals: str = "even"  # one of ARRIVAL_PATTERNS
+    warm_servers: int = 20
+    cold_servers: int = 1
+    arrivals_per_second: float = 60.0  # over the whole fleet
+    promised: int = 0  # sessions for each server
 
-    def site(self) -> own.Deployment:
-        total = float(self.promised * (self.warm + self.cold))
-        return replace(SITE, replicas=self.balancers, promised=total)
+    def deployment(self) -> own.Deployment:
+        promised_total = float(self.promised * (self.warm_servers + self.cold_servers))
+        return replace(DEPLOYMENT, replicas=self.balancers, promised=promised_total)
 
 
 class WarmUp(Struct):
-    """Of all cold servers of one warm-up together; windows are ends of windows, at each dial."""
+    """Results of one warm-up, over all of its cold servers; a window ends at each dial."""
 
     sent: int
-    allowed: float  # the budgets of all windows side by side
-    worst: float  # window, as a part of what it falls over at
-    worst_two: float  # over N + 2 root N + 2
-    fell: int  # servers past N + 2 root N + 2
-    fell_three: int  # past N + 3 root N + 3
+    allowed: float  # sum of the budgets of consecutive windows
+    peak_of_allowed: float  # the fullest window as a fraction of N
+    peak_of_limit: float  # as a fraction of N + 2 sqrt(N) + 2
+    failed: int  # servers above N + 2 sqrt(N) + 2
+    failed_at_three: int  # above N + 3 sqrt(N) + 3
     refused: int
-    came: int
+    arrived: int
 
 
-def limit(allowed: float, roots: int) -> float:
-    return allowed + roots * sqrt(allowed) + roots
+def failure_limit(allowed: float, factor: int) -> float:
+    return allowed + factor * sqrt(allowed) + factor
 
 
-def tail(parts: Sequence[float], count: int) -> float:
-    """The chance that of so many who each send one by such a chance `count` or more do. Exact."""
+def probability_of_at_least(probabilities: Sequence[float], count: int) -> float:
+    """The exact probability that `count` or more of independent events with these probabilities occur."""
     if count <= 0:
         return 1.0
-    chances = [1.0] + [0.0] * (count - 1)  # of 0, 1, ... count - 1
-    for part in parts:
-        for at in range(count - 1, 0, -1):
-            chances[at] += part * (chances[at - 1] - chances[at])
-        chances[0] *= 1 - part
-    return max(1 - sum(chances), 0.0)
+    distribution = [1.0] + [0.0] * (count - 1)  # probabilities of 0, 1, ... count - 1 events
+    for probability in probabilities:
+        for index in range(count - 1, 0, -1):
+            distribution[index] += probability * (distribution[index - 1] - distribution[index])
+        distribution[0] *= 1 - probability
+    return max(1 - sum(distribution), 0.0)
 
 
-def bounds(case: Case, seed: int, steps: int = 22) -> tuple[float, float]:
-    """At most so many of all warm-ups see a fall, by the parts that the decisions of a fleet have.
+def failure_bounds(case: Case, seed: int, steps: int = 22) -> tuple[float, float]:
+    """Upper bounds of the share of warm-ups with a failed server, from the budget shares of a fleet.
 
-    First with dials at every moment: the sum over all sessions sent of the chance that the others of the
-    window before it fill it up. Then where all balancers dial at once after a window with no dial, at a time
-    drawn evenly, and at every moment from then on.
+    The first assumes dials at every moment: it sums, over all sessions sent, the probability that the other
+    sessions of the window before fill the window. The second assumes that all balancers dial at once after a
+    window without a dial, at a uniformly distributed time, and at every moment from then on.
     """
     fleet = Fleet(case, seed)
-    window, length = SITE.fall_window, SITE.warm_after
-    dense = rush = 0.0
+    window, length = DEPLOYMENT.fall_window, DEPLOYMENT.warm_after
+    dense = simultaneous = 0.0
     for step in range(steps):
         age = (step + 0.5) * length / steps
-        counts = floor(limit(fleet.allowed(age), 2)) + 1
-        parts = fleet.parts(BEGIN + int(max(age - window / 2, age / 2)))  # in the middle of the window
-        sure = [floor(part) for part in parts]
-        parts = sorted(chance_for(part - one, case.balancers) for part, one in zip(parts, sure, strict=True))
-        sent = (sum(sure) + sum(parts)) * length / steps / window
-        dense += sent * tail(parts[1:], counts - 1 - sum(sure))
-        rush += tail(parts, counts - sum(sure)) / steps
-    return min(case.cold * dense, 1.0), min(case.cold * rush, 1.0)
-
-
-def times(case: Case, chance: Random) -> Iterator[tuple[float, int]]:
-    """When sessions come, and to which balancer."""
-    length = SITE.warm_after
-    count = round(case.rate * length / SECOND)
-    everyone = range(case.balancers)
+        failing_count = floor(failure_limit(fleet.allowed(age), 2)) + 1
+        # The shares in the middle of the window.
+        shares = fleet.budget_shares(START_TIME + int(max(age - window / 2, age / 2)))
+        certain = [floor(share) for share in shares]
+        shares = sorted(
+            chance_for(share - whole, case.balancers) for share, whole in zip(shares, certain, strict=True)
+        )
+        sent = (sum(certain) + sum(shares)) * length / steps / window
+        dense += sent * probability_of_at_least(shares[1:], failing_count - 1 - sum(certain))
+        simultaneous += probability_of_at_least(shares, failing_count - sum(certain)) / steps
+    return min(case.cold_servers * dense, 1.0), min(case.cold_servers * simultaneous, 1.0)
+
+
+def arrivals_of(case: Case, rng: Random) -> Iterator[tuple[float, int]]:
+    """The time of each arrival since the start of the cold servers, and the index of its balancer."""
+    length = DEPLOYMENT.warm_after
+    count = round(case.arrivals_per_second * length / SECOND)
+    balancers = range(case.balancers)
     if case.arrivals == "skewed":
-        weights = [1 / (1 + at) for at in everyone]
-        who = chance.choices(everyone, weights, k=count)
+        weights = [1 / (1 + index) for index in balancers]
+        chosen = rng.choices(balancers, weights, k=count)
     else:
-        who = chance.choices(everyone, k=count)
+        chosen = rng.choices(balancers, k=count)
     if case.arrivals == "bursts":
-        # What comes within a second and a half comes within a twentieth of a second.
-        every = 1.5 * SECOND
-        ats = [chance.uniform(0, length) // every * every + chance.uniform(0, BURST) for _ in range(count)]
+        # The arrivals of each 1.5 seconds come within a twentieth of a second.
+        period = 1.5 * SECOND
+        times = [
+            rng.uniform(0, length) // period * period + rng.uniform(0, BURST_LENGTH) for _ in range(count)
+        ]
     elif case.arrivals == "herd":
-        # Hardly anything until all come back at once, a fifth of the sessions on all balancers.
-        first = chance.uniform(0, length - SITE.fall_window)
-        ats = [
-            chance.uniform(first, length) if at % 5 else first + chance.uniform(0, BURST)
-            for at in range(count)
+        # Almost nothing until all clients reconnect at once: a fifth of the sessions, over all balancers.
+        first = rng.uniform(0, length - DEPLOYMENT.fall_window)
+        times = [
+            rng.uniform(first, length) if index % 5 else first + rng.uniform(0, BURST_LENGTH)
+            for index in range(count)
         ]
     else:
-        ats = [chance.uniform(0, length) for _ in range(count)]
-    return zip(sorted(ats), who, strict=True)
+        times = [rng.uniform(0, length) for _ in range(count)]
+    return zip(sorted(times), chosen, strict=True)
 
 
 class Fleet:
+    """All balancers of one warm-up, with the sessions that they hold."""
+
     def __init__(self, case: Case, seed: int) -> None:
         self.case = case
-        self.chance = chance = Random(seed)
-        site = case.site()
-        self.balancers = [Balancer(chance.randrange(1 << 48), site) for _ in range(case.balancers)]
-        self.standing: list[tuple[int, int, int]] = []  # balancer, session, server
-        self.next = 0
-        self.on_warm = 0
-        warm = [own.Entry(at, 0, 0, own.State.READY, 1) for at in range(case.warm)]
+        self.rng = rng = Random(seed)
+        deployment = case.deployment()
+        self.balancers = [Balancer(rng.randrange(1 << 48), deployment) for _ in range(case.balancers)]
+        self.sessions: list[tuple[int, int, int]] = []  # balancer, session, server
+        self.next_session = 0
+        self.sessions_on_warm = 0
+        warm = [own.Entry(server, 0, 0, own.State.READY, 1) for server in range(case.warm_servers)]
         for balancer in self.balancers:
             balancer.handle(1, own.ServerList(own.ListKind.SAVED, warm))
-        for at in range(case.warm * case.held):
-            who = chance.randrange(case.balancers)
-            self.balancers[who].handle(BEGIN, own.SessionStands(at, 0, None, None, at % case.warm))
-            self.balancers[who].handle(BEGIN, own.LoadTold(at, 1.0))
-            self.standing.append((who, at, at % case.warm))
-        self.next = self.on_warm = len(self.standing)
-        cold = [own.Entry(case.warm + at, 0, 0, own.State.READY, BEGIN) for at in range(case.cold)]
-        kind = own.ListKind.CHANGES if warm else own.ListKind.SAVED
+        for session in range(case.warm_servers * case.sessions_per_server):
+            index = rng.randrange(case.balancers)
+            self.balancers[index].handle(
+                START_TIME, own.SessionStands(session, 0, None, None, session % case.warm_servers)
+            )
+            self.balancers[index].handle(START_TIME, own.LoadTold(session, 1.0))
+            self.sessions.append((index, session, session % case.warm_servers))
+        self.next_session = self.sessions_on_warm = len(self.sessions)
+        cold = [
+            own.Entry(case.warm_servers + offset, 0, 0, own.State.READY, START_TIME)
+            for offset in range(case.cold_servers)
+        ]
+        list_kind = own.ListKind.CHANGES if warm else own.ListKind.SAVED
         for balancer in self.balancers:
-            balancer.handle(BEGIN, own.ServerList(kind, cold))
+            balancer.handle(START_TIME, own.ServerList(list_kind, cold))
 
     def allowed(self, age: float) -> float:
-        """N."""
+        """N, the dials allowed in a window to a server that started `age` ago."""
         case = self.case
-        held = self.on_warm / case.warm if case.warm else len(self.standing) / case.cold
-        able = SITE.cold_share + (1 - SITE.cold_share) * age / SITE.warm_after
-        part = SITE.fall_multiple * able * SITE.fall_window / SITE.warm_after
-        return part * max(held, case.promised, 1)
-
-    def parts(self, now: int) -> list[float]:
-        """What each balancer may send to the first of the cold servers in a window, in sessions."""
-        parts = []
+        mean_sessions = (
+            self.sessions_on_warm / case.warm_servers
+            if case.warm_servers
+            else len(self.sessions) / case.cold_servers
+        )
+        capacity = DEPLOYMENT.cold_share + (1 - DEPLOYMENT.cold_share) * age / DEPLOYMENT.warm_after
+        share = DEPLOYMENT.fall_multiple * capacity * DEPLOYMENT.fall_window / DEPLOYMENT.warm_after
+        return share * max(mean_sessions, case.promised, 1)
+
+    def budget_shares(self, now: int) -> list[float]:
+        """How many sessions each balancer may send to the first cold server in a window."""
+        shares = []
         for balancer in self.balancers:
             balancer.now = now
-            server = balancer.servers[self.case.warm]
-            carried = balancer.sum_of_kind(server.kind, balancer.warm_sums()) / balancer.mean
-            parts.append(balancer.cold_part(server) * carried)
-        return parts
+            server = balancer.servers[self.case.warm_servers]
+            mean_sessions = balancer.sum_of_kind(server.kind, balancer.warm_sums()) / balancer.mean
+            shares.append(balancer.cold_part(server) * mean_sessions)
+        return shares
 
-    def play(self) -> WarmUp:
+    def run(self) -> WarmUp:
         case = self.case
-        seen = WarmUp(0, 0.0, 0.0, 0.0, 0, 0, 0, 0)
-        windows: dict[int, deque[float]] = {case.warm + at: deque() for at in range(case.cold)}
-        fell: set[int] = set()
-        fell_three: set[int] = set()
-        before = 0.0
-        for age, who in times(case, self.chance):
-            seen.allowed += case.cold * self.allowed((age + before) / 2) * (age - before) / SITE.fall_window
-            before = age
-            seen.came += 1
-            server = self.come(who, BEGIN + int(age))
+        result = WarmUp(0, 0.0, 0.0, 0.0, 0, 0, 0, 0)
+        windows: dict[int, deque[float]] = {
+            case.warm_servers + offset: deque() for offset in range(case.cold_servers)
+        }
+        failed: set[int] = set()
+        failed_at_three: set[int] = set()
+        previous_age = 0.0
+        for age, index in arrivals_of(case, self.rng):
+            result.allowed += (
+                case.cold_servers
+                * self.allowed((age + previous_age) / 2)
+                * (age - previous_age)
+                / DEPLOYMENT.fall_window
+            )
+            previous_age = age
+            result.arrived += 1
+            server = self.replace_session(index, START_TIME + int(age))
             if server is None:
-                seen.refused += 1
+                result.refused += 1
                 continue
             window = windows.get(server)
             if window is None:
                 continue
-            seen.sent += 1
+            result.sent += 1
             window.append(age)
-            while window[0] <= age - SITE.fall_window:
+            while window[0] <= age - DEPLOYMENT.fall_window:
                 window.popleft()
             allowed = self.allowed(age)
-            seen.worst = max(seen.worst, len(window) / allowed)
-            seen.worst_two = max(seen.worst_two, len(window) / limit(allowed, 2))
-            if len(window) > limit(allowed, 2):
-                fell.add(server)
-            if len(window) > limit(allowed, 3):
-                fell_three.add(server)
-        seen.fell, seen.fell_three = len(fell), len(fell_three)
-        return seen
-
-    def come(self, who: int, now: int) -> int | None:
-        """One comes, another ends; the server that it went to."""
-        if len(self.standing) >= max(self.case.held, 1) * max(self.case.warm, 1) and self.case.warm:
-            at = self.chance.randrange(len(self.standing))
-            self.standing[at], self.standing[-1] = self.standing[-1], self.standing[at]
-            holder, ended, server = self.standing.pop()
+            result.peak_of_allowed = max(result.peak_of_allowed, len(window) / allowed)
+            result.peak_of_limit = max(result.peak_of_limit, len(window) / failure_limit(allowed, 2))
+            if len(window) > failure_limit(allowed, 2):
+                failed.add(server)
+            if len(window) > failure_limit(allowed, 3):
+                failed_at_three.add(server)
+        result.failed, result.failed_at_three = len(failed), len(failed_at_three)
+        return result
+
+    def replace_session(self, index: int, now: int) -> int | None:
+        """Ends a random session once enough are open, and opens one at a balancer.
+
+        Returns the server of the new session, or None if it is refused.
+        """
+        if (
+            len(self.sessions) >= max(self.case.sessions_per_server, 1) * max(self.case.warm_servers, 1)
+            and self.case.warm_servers
+        ):
+            position = self.rng.randrange(len(self.sessions))
+            self.sessions[position], self.sessions[-1] = self.sessions[-1], self.sessions[position]
+            holder, ended, server = self.sessions.pop()
             self.balancers[holder].handle(now, own.DialEnded(ended, server, own.Outcome.ENDED, True, None))
-            self.on_warm -= server < self.case.warm
-        sess = self.next
-        self.next += 1
-        balancer = self.balancers[who]
-        out = balancer.handle(now, own.SessionCame(sess, 0, 12000, None, None, False))
-        for action in out:
+            self.sessions_on_warm -= server < self.case.warm_servers
+        session = self.next_session
+        self.next_session += 1
+        balancer = self.balancers[index]
+        actions = balancer.handle(now, own.SessionCame(session, 0, 12000, None, None, False))
+        for action in actions:
             if isinstance(action, own.Dial):
-                balancer.handle(now, own.Established(sess, action.server, 20))
-                balancer.handle(now, own.LoadTold(sess, 1.0))
-                self.standing.append((who, sess, action.server))
-                self.on_warm += action.server < self.case.warm
+                balancer.handle(now, own.Established(session, action.server, 20))
+                balancer.handle(now, own.LoadTold(session, 1.0))
+                self.sessions.append((index, session, action.server))
+                self.sessions_on_warm += action.server < self.case.warm_servers
                 return action.server
         return None
 
 
-def play(case: Case, seed: int) -> WarmUp:
-    return Fleet(case, seed).play()
+def run_warm_up(case: Case, seed: int) -> WarmUp:
+    return Fleet(case, seed).run()
 
 
-HEADS = (
+COLUMNS = (
     "balancers", "held", "arrivals", "warm", "cold", "promised", "warm-ups", "fell", "fell (3)", "used of N",
     "worst window / N", "/ limit", "refused", "bound, dense", "bound, all at once",
 )  # fmt: skip
 
 
 def measure(case: Case, rounds: int, seed: int, jobs: int) -> list[str]:
-    """One row of HEADS."""
+    """The values of COLUMNS for one case, over `rounds` warm-ups in `jobs` processes."""
     with ProcessPoolExecutor(jobs) as pool:
-        seen = list(pool.map(partial(play, case), range(seed, seed + rounds), chunksize=max(rounds // 50, 1)))
-    dense, rush = bounds(case, seed)
+        results = list(
+            pool.map(partial(run_warm_up, case), range(seed, seed + rounds), chunksize=max(rounds // 50, 1))
+        )
+    dense, simultaneous = failure_bounds(case, seed)
     return [
-        *map(str, (case.balancers, case.held, case.arrivals, case.warm, case.cold, case.promised, rounds)),
-        str(sum(one.fell > 0 for one in seen)), str(sum(one.fell_three > 0 for one in seen)),
-        f"{sum(one.sent for one in seen) / sum(one.allowed for one in seen):.2f}",
-        f"{max(one.worst for one in seen):.2f}", f"{max(one.worst_two for one in seen):.2f}",
-        f"{sum(one.refused for one in seen) / sum(one.came for one in seen):.2f}",
-        f"{dense:.0e}", f"{rush:.0e}",
+        *map(
+            str,
+            (
+                case.balancers, case.sessions_per_server, case.arrivals, case.warm_servers, case.cold_servers,
+                case.promised, rounds,
+            ),
+        ),
+        str(sum(result.failed > 0 for result in results)),
+        str(sum(result.failed_at_three > 0 for result in results)),
+        f"{sum(result.sent for result in results) / sum(result.allowed for result in results):.2f}",
+        f"{max(result.peak_of_allowed for result in results):.2f}",
+        f"{max(result.peak_of_limit for result in results):.2f}",
+        f"{sum(result.refused for result in results) / sum(result.arrived for result in results):.2f}",
+        f"{dense:.0e}", f"{simultaneous:.0e}",
     ]  # fmt: skip
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--balancers", type=int, nargs="+", default=[2, 8, 20, 30, 200, 420])
-    parser.add_argument("--held", type=int, nargs="+", default=[10, 40], help="sessions on each warm server")
-    parser.add_argument("--arrivals", nargs="+", choices=ARRIVALS, default=["even"])
-    parser.add_argument("--warm", type=int, default=20, help="servers; 0: all have just restarted")
-    parser.add_argument("--cold", type=int, default=1, help="servers")
-    parser.add_argument("--promised", type=int, default=0, help="sessions for each server; 0: not stated")
-    parser.add_argument("--rate", type=float, default=60.0, help="sessions a second over the fleet")
-    parser.add_argument("--rounds", type=int, default=100, help="warm-ups")
+    parser.add_argument(
+        "--held", type=int, nargs="+", default=[10, 40], help="open sessions on each warm server"
+    )
+    parser.add_argument("--arrivals", nargs="+", choices=ARRIVAL_PATTERNS, default=["even"])
+    parser.add_argument("--warm", type=int, default=20, help="warm servers; 0: all have just restarted")
+    parser.add_argument("--cold", type=int, default=1, help="cold servers")
+    parser.add_argument(
+        "--promised", type=int, default=0, help="promised sessions for each server; 0: not stated"
+    )
+    parser.add_argument(
+        "--rate", type=float, default=60.0, help="arriving sessions per second over the whole fleet"
+    )
+    parser.add_argument("--rounds", type=int, default=100, help="warm-ups for each row")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=1)
 
 
-def main(given: argparse.Namespace) -> int:
-    """A row as soon as a case is measured; 1 if a server fell."""
-    print("| " + " | ".join(HEADS) + " |\n" + "| --- " * len(HEADS) + "|")
-    fell = False
-    stand = given.held if given.warm else [0]
-    for held, arrivals, balancers in product(stand, given.arrivals, given.balancers):
-        case = Case(balancers, held, arrivals, given.warm, given.cold, given.rate, given.promised)
-        row = measure(case, given.rounds, given.seed, given.jobs)
+def main(arguments: argparse.Namespace) -> int:
+    """Prints each row once it is measured; returns 1 if a server failed, else 0."""
+    print("| " + " | ".join(COLUMNS) + " |\n" + "| --- " * len(COLUMNS) + "|")
+    has_failure = False
+    sessions_per_server = arguments.held if arguments.warm else [0]
+    for sessions, arrivals, balancers in product(
+        sessions_per_server, arguments.arrivals, arguments.balancers
+    ):
+        case = Case(
+            balancers,
+            sessions,
+            arrivals,
+            arguments.warm,
+            arguments.cold,
+            arguments.rate,
+            arguments.promised,
+        )
+        row = measure(case, arguments.rounds, arguments.seed, arguments.jobs)
         print("| " + " | ".join(row) + " |", flush=True)
-        fell = fell or row[HEADS.index("fell")] != "0"
-    return int(fell)
+        has_failure = has_failure or row[COLUMNS.index("fell")] != "0"
+    return int(has_failure)
