--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from thymedeck.lab.talk import KEYS, SECOND, Talk, address
+from thymedeck.lab.membership import KEYS, SECOND, MembershipSimulation, peer_address
 from thymedeck.peers import node as decisions
 from thymedeck.peers.ledger import Ledger
 from thymedeck.peers.lives import KEY, LINK, Chain, ahead, makes, proof
@@ -33,16 +33,16 @@
 SIZE = 8
 
 
-def met(balancers: int = SIZE, seed: int = 1, **more: object) -> Talk:
-    talk = Talk(balancers, seed, **more)
-    assert talk.run_until(talk.agree, 30 * SECOND) >= 0
+def met(balancers: int = SIZE, seed: int = 1, **more: object) -> MembershipSimulation:
+    talk = MembershipSimulation(balancers, seed, **more)
+    assert talk.run_until(talk.all_agree, 30 * SECOND) >= 0
     talk.run(3 * SECOND)
     return talk
 
 
-def bounded(talk: Talk) -> None:
-    most = talk.more.get("send_most", 2_000)
-    assert talk.most_sent() <= most
+def bounded(talk: MembershipSimulation) -> None:
+    most = talk.overrides.get("send_most", 2_000)
+    assert talk.peak_bytes_per_second() <= most
     assert all(len(node.peers) <= node.stated.peers_most for node in talk.nodes.values())
 
 
@@ -50,16 +50,16 @@
     talk = met()
     old = talk.node(3)
     talk.kill(3)
-    assert talk.run_until(lambda: not talk.holders("b3"), 5 * SECOND) >= 0
+    assert talk.run_until(lambda: not talk.count_holders("b3"), 5 * SECOND) >= 0
     assert all("b3" not in node.ledger.heard for node in talk.alive().values())
-    new = talk.start("b3", address(3))
-    assert talk.run_until(talk.agree, 10 * SECOND) >= 0
+    new = talk.start("b3", peer_address(3))
+    assert talk.run_until(talk.all_agree, 10 * SECOND) >= 0
     assert new.incarnation // STEP > old.incarnation // STEP
     # The old one's messages still arrive.
     at = talk.node(0)
     held, seen = at.peers["b3"].incarnation, at.counted["old incarnation"]
-    stray = Message(VERSION, Kind.PING, "b3", old.incarnation, 10**6, token=at.token_for(address(3)))
-    talk.arrive(address(0), talk.envelopes[address(0)].close(stray))
+    stray = Message(VERSION, Kind.PING, "b3", old.incarnation, 10**6, token=at.token_for(peer_address(3)))
+    talk.deliver(peer_address(0), talk.envelopes[peer_address(0)].close(stray))
     assert (at.peers["b3"].incarnation, at.counted["old incarnation"]) == (held, seen + 1)
     bounded(talk)
 
@@ -67,18 +67,18 @@
 def test_halves_cut_from_each_other_agree_again_and_so_do_their_sums() -> None:
     talk = met(10)
     for one, other in (("b[0-4]", "b[5-9]"), ("b[5-9]", "b[0-4]")):
-        talk.between(0, 15 * SECOND, one, other, cut=True)
+        talk.add_fault(0, 15 * SECOND, one, other, cut=True)
     talk.run(14 * SECOND)
     for node in talk.nodes.values():
         half = "01234" if node.name[1] in "01234" else "56789"
         assert {peer.name for peer in node.here()} == {f"b{at}" for at in half} - {node.name}
         assert node.sum(talk.now).part == 0.5
     talk.run(SECOND)
-    assert talk.run_until(talk.agree, 5 * SECOND) >= 0
-    for truth in talk.truths.values():
-        truth.change = lambda truth=truth: Counts(1, [("full", truth.held.total())])
+    assert talk.run_until(talk.all_agree, 5 * SECOND) >= 0
+    for truth in talk.actual_sessions.values():
+        truth.update = lambda truth=truth: Counts(1, [("full", truth.by_server.total())])
     talk.run(15 * SECOND)
-    whole = sum(truth.held.total() for truth in talk.truths.values())
+    whole = sum(truth.by_server.total() for truth in talk.actual_sessions.values())
     for node in talk.nodes.values():
         told = node.sum(talk.now)
         assert (told.part, sum(told.by_kind.values())) == (1.0, whole)
@@ -88,19 +88,19 @@
 @pytest.mark.parametrize("way", [("b2", "b5"), ("b5", "b2")])
 def test_one_that_another_can_not_hear_is_not_called_gone(way: tuple[str, str]) -> None:
     talk = met()
-    talk.between(0, 60 * SECOND, *way, cut=True)
+    talk.add_fault(0, 60 * SECOND, *way, cut=True)
     talk.run(60 * SECOND)
-    assert not talk.falsely_gone()
+    assert not talk.count_falsely_gone()
     bounded(talk)
 
 
 def test_one_that_hears_nothing_says_how_little_it_covers() -> None:
     talk = met()
-    talk.between(0, 100 * SECOND, "*", "b4", cut=True)
+    talk.add_fault(0, 100 * SECOND, "*", "b4", cut=True)
     talk.run(100 * SECOND)
     deaf = talk.node(4)
     assert not deaf.here() and deaf.sum(talk.now).covered == 1 and deaf.sum(talk.now).part == 1 / SIZE
-    assert talk.run_until(talk.agree, 10 * SECOND) >= 0
+    assert talk.run_until(talk.all_agree, 10 * SECOND) >= 0
     assert deaf.sum(talk.now + 20 * SECOND).expected == SIZE
 
 
@@ -114,7 +114,7 @@
         {peer.name for peer in node.here()} == {one.name for one in awake} - {node.name} for node in awake
     )
     since = len(talk.logs)
-    assert talk.run_until(talk.agree, 8 * SECOND) >= 0
+    assert talk.run_until(talk.all_agree, 8 * SECOND) >= 0
     woken = [text for _, name, text in talk.logs[since:] if name in ("b0", "b3", "b6")]
     assert any(text.startswith("late by") for text in woken) and not any("gone" in text for text in woken)
     bounded(talk)
@@ -126,18 +126,18 @@
         talk.kill(at)
     talk.run(2 * SECOND)
     for at in range(0, SIZE, 2):
-        talk.start(f"b{at}", address(at), unix_ms=1_790_000_000_000 - 3_600_000)
-    assert talk.run_until(talk.agree, 30 * SECOND) >= 0
+        talk.start(f"b{at}", peer_address(at), unix_ms=1_790_000_000_000 - 3_600_000)
+    assert talk.run_until(talk.all_agree, 30 * SECOND) >= 0
     bounded(talk)
 
 
 class Hostile:
     """A member with the key that says what it likes, from its own address."""
 
-    def __init__(self, talk: Talk, at: int) -> None:
+    def __init__(self, talk: MembershipSimulation, at: int) -> None:
         self.talk = talk
         self.node = talk.node(at)
-        self.key = address(at)
+        self.key = peer_address(at)
 
     def say(self, to: Peers, kind: Kind = Kind.ACK, name: str = "", **more: object) -> None:
         self.node.counter += 1
@@ -145,7 +145,7 @@
             VERSION, kind, name or self.node.name, self.node.incarnation, self.node.counter,
             token=self.node.peers[to.name].token, **more,
         )  # fmt: skip
-        self.talk.arrive(to.stated.advertise, self.talk.envelopes[self.key].close(message))
+        self.talk.deliver(to.stated.advertise, self.talk.envelopes[self.key].close(message))
 
 
 def test_one_with_the_key_that_calls_all_others_dead_does_no_harm() -> None:
@@ -162,7 +162,7 @@
             ]
             hostile.say(node, rumours=rumours)
         talk.run(SECOND // 10)
-        assert not talk.falsely_gone()
+        assert not talk.count_falsely_gone()
     assert any("b7 is not heeded" in text for _, _, text in talk.logs)
     bounded(talk)
 
@@ -176,13 +176,13 @@
     old = at.proof_of(victim.key)
     assert victim.incarnation % STEP == at.peers["b3"].number == 1 and old[KEY + 1 :] == victim.chain.link(1)
     talk.kill(3)
-    assert talk.run_until(lambda: not talk.holders("b3"), 5 * SECOND) >= 0
+    assert talk.run_until(lambda: not talk.count_holders("b3"), 5 * SECOND) >= 0
     ago = len(talk.logs)
     for again in range(40):
         for one in (talk.node(n) for n in (0, 1, 2, 4, 5, 6)):
             hostile.say(one, lives=old + proof(victim.key, 2 + again, bytes(LINK)))
         talk.run(SECOND // 10)
-        assert not talk.holders("b3")
+        assert not talk.count_holders("b3")
     assert at.counted["no proof of life"] and any(
         "b7 is not heeded" in text for _, _, text in talk.logs[ago:]
     )
@@ -191,8 +191,8 @@
 
 def test_a_proof_that_others_pass_on_saves_one_that_can_not_be_reached() -> None:
     talk = met()
-    talk.between(0, 30 * SECOND, "b1", "b2", cut=True)
-    talk.between(0, 30 * SECOND, "b2", "b1", cut=True)
+    talk.add_fault(0, 30 * SECOND, "b1", "b2", cut=True)
+    talk.add_fault(0, 30 * SECOND, "b2", "b1", cut=True)
     at = talk.node(1)
     for voice in (6, 7):
         doubted = at.peers["b2"].incarnation
@@ -209,7 +209,7 @@
         Hostile(talk, 7).say(talk.node(3), rumours=[Rumour(Told.GONE, "b3", talk.node(3).incarnation)])
         talk.run(2 * SECOND)
     assert talk.node(3).incarnation // STEP == first + 1
-    assert talk.run_until(talk.agree, 10 * SECOND) >= 0
+    assert talk.run_until(talk.all_agree, 10 * SECOND) >= 0
 
 
 @given(secret=st.binary(min_size=8, max_size=32), known=st.integers(0, 600), more=st.integers(0, 600))
@@ -239,7 +239,7 @@
             }
             assert now == held
         talk.run(SECOND // 10)
-    assert talk.agree()
+    assert talk.all_agree()
 
 
 def test_a_repeated_datagram_counts_once_and_an_old_one_not_at_all() -> None:
@@ -247,7 +247,7 @@
     at, by = talk.node(0), talk.node(1)
     old = Counts(version=1, by_kind=[("full", 77)])
     by.counter += 1
-    data = talk.envelopes[address(1)].close(
+    data = talk.envelopes[peer_address(1)].close(
         Message(
             VERSION,
             Kind.COUNTS,
@@ -258,13 +258,13 @@
             counts=Counts(10**6, [("full", 5)]),
         )  # fmt: skip
     )
-    talk.arrive(address(0), data)
+    talk.deliver(peer_address(0), data)
     assert at.ledger.heard["b1"].counts.by_kind == [("full", 5)]
     heard_at = at.peers["b1"].heard_at
     talk.run(2)
     before = at.counted["repeated"]
     for _ in range(5):
-        talk.arrive(address(0), data)
+        talk.deliver(peer_address(0), data)
     assert at.counted["repeated"] == before + 5 and at.peers["b1"].heard_at == heard_at
     assert not at.ledger.take(talk.now, "b1", by.incarnation, old)
 
@@ -274,23 +274,23 @@
     node = talk.node(0)
     envelope = Envelope("lab", list(KEYS))
     for at in range(5_000):
-        ping = Message(VERSION, Kind.PING, f"x{at}", STEP, 1, address=address(1_000 + at), nonce=at + 1)
-        talk.arrive(address(0), envelope.close(ping))
+        ping = Message(VERSION, Kind.PING, f"x{at}", STEP, 1, address=peer_address(1_000 + at), nonce=at + 1)
+        talk.deliver(peer_address(0), envelope.close(ping))
         if at % 50 == 0:
             talk.run(SECOND // 50)
     assert len(node.peers) == SIZE - 1 and len(node.candidates) <= decisions.MOST_CANDIDATES
     assert len(node.waiting) <= decisions.MOST_WAITING
     talk.run(10 * SECOND)
-    assert talk.agree()
+    assert talk.all_agree()
     bounded(talk)
 
 
 def test_two_under_one_name_are_one_and_the_first_counts() -> None:
     talk = met()
-    second = talk.start("b2", address(50))
+    second = talk.start("b2", peer_address(50))
     talk.run(20 * SECOND)
     assert all(
-        node.peers["b2"].address == address(2) for key, node in talk.nodes.items() if node.name != "b2"
+        node.peers["b2"].address == peer_address(2) for key, node in talk.nodes.items() if node.name != "b2"
     )
     said = [text for _, name, text in talk.logs]
     assert any("two balancers call themselves b2" in text for text in said)
@@ -309,7 +309,7 @@
             talk.envelopes[key].keys = keys
             talk.run(SECOND // 2)
     talk.run(30 * SECOND)
-    assert talk.agree() and not any("gone" in text for _, _, text in talk.logs)
+    assert talk.all_agree() and not any("gone" in text for _, _, text in talk.logs)
     assert not any(node.counted["key"] for node in talk.nodes.values())
 
 
@@ -359,7 +359,7 @@
 @given(STEPS, st.integers(0, 1000))
 @settings(max_examples=25, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 def test_entries_never_go_back_and_sums_agree_once_healed(steps: list, seed: int) -> None:
-    talk = Talk(4, seed)
+    talk = MembershipSimulation(4, seed)
     last: dict[tuple[str, str], tuple[int, int]] = {}
 
     def look() -> None:
@@ -372,25 +372,25 @@
     for what, one, other, span in steps:
         match what:
             case "cut":
-                talk.between(0, span * SECOND // 4, f"b{one}", f"b{other}", cut=True)
+                talk.add_fault(0, span * SECOND // 4, f"b{one}", f"b{other}", cut=True)
             case "lose" | "repeat":
-                talk.between(0, span * SECOND // 4, "*", f"b{other}", **{what: 0.5}, spread=SECOND // 2)
+                talk.add_fault(0, span * SECOND // 4, "*", f"b{other}", **{what: 0.5}, spread=SECOND // 2)
             case "kill":
                 talk.kill(one)
-            case "start" if address(one) in talk.dead:
-                talk.start(f"b{one}", address(one))
+            case "start" if peer_address(one) in talk.killed:
+                talk.start(f"b{one}", peer_address(one))
             case "freeze":
                 talk.freeze(one, span * SECOND // 8)
         talk.run(span * SECOND // 10)
         look()
     talk.run(20 * SECOND)
-    assert talk.run_until(talk.agree, 40 * SECOND) >= 0
-    for truth in talk.truths.values():
-        truth.change = lambda truth=truth: Counts(1, [("full", truth.held.total())])
+    assert talk.run_until(talk.all_agree, 40 * SECOND) >= 0
+    for truth in talk.actual_sessions.values():
+        truth.update = lambda truth=truth: Counts(1, [("full", truth.by_server.total())])
     talk.run(15 * SECOND)
     look()
     alive = talk.alive()
-    whole = sum(talk.truths[key].held.total() for key in alive)
+    whole = sum(talk.actual_sessions[key].by_server.total() for key in alive)
     for node in alive.values():
         assert sum(node.sum(talk.now).by_kind.values()) == whole
     bounded(talk)
@@ -469,18 +469,18 @@
     for peer in node.peers.values():
         peer.name = "n" * 64
     node.ledger.own = None
-    talk.tell(address(0), node, Counted(Counts(1, kinds, list(many), dials=10**6, list_version=10**6)))
+    talk.handle(peer_address(0), node, Counted(Counts(1, kinds, list(many), dials=10**6, list_version=10**6)))
     own = node.ledger.own
     assert own.beyond + sum(count for _, count in own.by_server) == sum(count for _, count in many)
     node.name = "n" * 64
     message = Message(VERSION, Kind.COUNTS, node.name, LATEST - 1, LATEST - 1, token=bytes(8), counts=own)
-    assert len(talk.envelopes[address(0)].close(message)) <= LARGEST
+    assert len(talk.envelopes[peer_address(0)].close(message)) <= LARGEST
 
 
 def test_the_same_seed_gives_the_same_play() -> None:
     def played() -> list:
-        talk = Talk(6, 5)
-        talk.between(SECOND, 3 * SECOND, "b1", "*", lose=0.5, spread=50)
+        talk = MembershipSimulation(6, 5)
+        talk.add_fault(SECOND, 3 * SECOND, "b1", "*", lose=0.5, spread=50)
         talk.run(6 * SECOND)
         return [talk.logs, talk.sent]
 
--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -4,7 +4,7 @@
 import sys
 
 from ..peers.stated import Unfit
-from . import cold, configured, talk
+from . import cold, configured, membership
 from .measure import measure_processes
 from .play import Run
 from .scale import command as scale
@@ -27,7 +27,7 @@
     )
     peers.add_argument("--processes", action="store_true", help="real daemons on loopback, with and without")
     peers.add_argument("--acquainted", action="store_true", help="all have met each other at the start")
-    scale.add_to(commands)
+    scale.add_parser(commands)
     warm_ups = commands.add_parser("cold", help="measure what fleets send to cold servers, in virtual time")
     cold.add_arguments(warm_ups)
     plays = commands.add_parser(
@@ -45,7 +45,7 @@
         return cold.main(given)
     if given.command == "peers" and given.processes:
         for size in given.balancers:
-            print("\n".join(measure_processes(size, given.seed, round(given.quiet * talk.SECOND))))
+            print("\n".join(measure_processes(size, given.seed, round(given.quiet * membership.SECOND))))
         return 0
     if given.command == "peers":
         return measure_peers(given.balancers, given.seed, given.quiet, given.acquainted)
@@ -56,17 +56,17 @@
 
 def play_configuration(given: argparse.Namespace) -> int:
     print("| " + " | ".join(configured.HEADS) + " |\n" + "| --- " * len(configured.HEADS) + "|")
-    cut_for = round(given.cut * talk.SECOND)
+    cut_for = round(given.cut * membership.SECOND)
     configured.play(configured.Given(given.balancers, given.size, cut_for), given.seed, given.play)
     return 0
 
 
 def measure_peers(sizes: list[int], seed: int, quiet: float, acquainted: bool) -> int:
     """A row as soon as a size is measured."""
-    print("| " + " | ".join(talk.HEADS) + " |\n" + "| --- " * len(talk.HEADS) + "|")
+    print("| " + " | ".join(membership.COLUMNS) + " |\n" + "| --- " * len(membership.COLUMNS) + "|")
     for size in sizes:
-        figures = talk.measure(size, seed, round(quiet * talk.SECOND), acquainted)
-        print("| " + " | ".join(talk.row(figures)) + " |", flush=True)
+        figures = membership.measure(size, seed, round(quiet * membership.SECOND), acquainted)
+        print("| " + " | ".join(membership.format_row(figures)) + " |", flush=True)
     return 0
 
 
--- a/thymedeck/lab/measure.py
+++ b/thymedeck/lab/measure.py
@@ -1,8 +1,8 @@
 """What peers cost and how soon they notice, on real daemons: from their logs, the relays and the kernel."""
 
+from .membership import cut_by_parity
 from .play import settings
 from .stage import SECOND, Processes, cpu_seconds
-from .talk import cut_by_parity
 
 PATIENCE = 60 * SECOND
 
--- a/thymedeck/lab/scale/__init__.py
+++ b/thymedeck/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What the program costs by size: sweeps whose rows docs/CAPACITY.md is made of (docs/lab.md, scale)."""
+"""Sweeps of what the program costs by size; docs/CAPACITY.md shows the results (docs/lab.md, scale)."""
--- a/thymedeck/lab/scale/command.py
+++ b/thymedeck/lab/scale/command.py
@@ -1,4 +1,4 @@
-"""`python -m thymedeck.lab scale PART ...`: measures the rows that are missing, or writes fits and charts."""
+"""`python -m thymedeck.lab scale PART ...`: measures missing rows, or writes the fits and charts."""
 
 import argparse
 import itertools
@@ -6,105 +6,130 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from . import control, listing, mixed, sessions
-from .process import unbound
-from .rows import Row, Sheet
+from . import control, mixed, server_list, sessions
+from .process import set_resource_limits
+from .rows import CsvTable, Row
 
-FOLDER = Path(__file__).parents[3] / "docs" / "capacity"
+RESULTS_FOLDER = Path(__file__).parents[3] / "docs" / "capacity"
 
 
-class Part:
+class Sweep:
+    """A measurement and the sizes at which it is made; each combination is one row of a CSV file."""
+
     def __init__(self, measure: Callable[..., Row], title: str, **keys: list) -> None:
-        """`keys`: the columns that name a row, each with the values that a full sweep takes."""
+        """`keys`: the columns that identify a row, each with its values in a full sweep.
+
+        They are also the keyword arguments of `measure`.
+        """
         self.measure = measure
         self.title = title
         self.keys = keys
 
-    def names(self, sizes: list[int], repeats: int) -> Iterator[Row]:
-        """`sizes` stand for the first column's values, `repeats` for how many of the last."""
-        (first, usual), *others = self.keys.items()
+    def row_keys(self, sizes: list[int], repeats: int) -> Iterator[Row]:
+        """`sizes` replace the values of the first column, `repeats` the number of values of the last one."""
+        (first, default_values), *others = self.keys.items()
         if repeats:
             others[-1] = (others[-1][0], list(range(1, repeats + 1)))
-        for at in itertools.product(*(values for _, values in others), sizes or usual):
-            yield {first: at[-1]} | {key: value for (key, _), value in zip(others, at, strict=False)}
+        for values in itertools.product(*(column for _, column in others), sizes or default_values):
+            yield {first: values[-1]} | {key: value for (key, _), value in zip(others, values, strict=False)}
 
 
-SIZES = [1000, 2000, 4000, 6000, 8700]
-FLEETS = [10, 30, 100, 200, 420]
-ENTRIES = [100, 1000, 5000, 10000, 20000, 47000]
-PARTS = {
-    "sessions": Part(sessions.standing, "standing sessions on one daemon", sessions=SIZES, repeat=[1, 2]),
-    "deliveries": Part(
-        sessions.deliveries, "deliveries to 4,000 sessions, by rate and by length of a line",
+SESSION_COUNTS = [1000, 2000, 4000, 6000, 8700]
+FLEET_SIZES = [10, 30, 100, 200, 420]
+LIST_LENGTHS = [100, 1000, 5000, 10000, 20000, 47000]
+SWEEPS = {
+    "sessions": Sweep(
+        sessions.measure_sessions, "open sessions on one daemon", sessions=SESSION_COUNTS, repeat=[1, 2]
+    ),
+    "deliveries": Sweep(
+        sessions.measure_deliveries, "deliveries to 4,000 sessions, by rate",
         rate=[1000, *range(5000, 30001, 5000), 40000, 60000], size=[100], sessions=[4000], repeat=[1, 2],
     ),
-    "lengths": Part(
-        sessions.deliveries, "the same by length of a line",
+    "lengths": Sweep(
+        sessions.measure_deliveries, "deliveries to 1,000 sessions, by length of the line",
         size=[50, 400, 1500, 4000], rate=[4000], sessions=[1000], repeat=[1, 2],
     ),
-    "churn": Part(
-        sessions.churn, "memory beside sessions that come and go", sessions=[10, 2000, 4000, 7000], repeat=[1]
+    "churn": Sweep(
+        sessions.measure_churn, "memory growth by sessions that open and close",
+        sessions=[10, 2000, 4000, 7000], repeat=[1],
     ),
-    "whole": Part(
-        sessions.whole, "lines of all kinds as one balancer has them at the target, in parts of a hundred",
+    "whole": Sweep(
+        sessions.measure_whole_load, "all lines of one balancer, in percent of the target's rates",
         percent=[10, 25, 50, 75, 100], sessions=[8000], repeat=[1, 2],
     ),
-    "list": Part(listing.taken, "the list of servers, taken in by a daemon", entries=ENTRIES, repeat=[1, 2]),
-    "starts": Part(listing.start, "starts with a list of the file", entries=ENTRIES, repeat=[1, 2]),
-    "placing": Part(
-        sessions.placing, "set-ups by the servers listed", listed=[20, *ENTRIES], repeat=[1, 2]
+    "list": Sweep(
+        server_list.measure_list, "the list of servers received by a daemon",
+        entries=LIST_LENGTHS, repeat=[1, 2],
+    ),
+    "starts": Sweep(
+        server_list.measure_start, "starts with a list from the file", entries=LIST_LENGTHS, repeat=[1, 2]
+    ),
+    "placing": Sweep(
+        sessions.measure_placing, "set-ups by number of listed servers",
+        listed=[20, *LIST_LENGTHS], repeat=[1, 2],
+    ),
+    "picks": Sweep(
+        server_list.measure_choice, "choices of a server by number of servers",
+        servers=LIST_LENGTHS, repeat=[1, 2, 3],
     ),
-    "picks": Part(listing.pick, "a pick, by servers", servers=ENTRIES, repeat=[1, 2, 3]),
-    "control": Part(
-        control.fleet, "peers, all acquainted", balancers=FLEETS, send_most=[2000], quiet=[20], seed=[1, 2]
+    "control": Sweep(
+        control.measure_fleet, "peers that all know each other",
+        balancers=FLEET_SIZES, send_most=[2000], quiet=[20], seed=[1, 2],
     ),
-    "tuned": Part(
-        control.fleet, "the same by what each may send",
+    "tuned": Sweep(
+        control.measure_fleet, "peers that all know each other, by sending limit",
         balancers=[30, 100, 200], send_most=[2000, 6000, 27000], quiet=[10], seed=[1],
     ),
-    "meeting": Part(
-        control.meeting, "peers that start together",
+    "meeting": Sweep(
+        control.measure_meeting, "peers that start together",
         balancers=[10, 30, 60, 100, 200], send_most=[2000], seed=[1, 2],
     ),
-    "regions": Part(
-        control.region, "a third cut off", balancers=[12, 30, 60, 100], cut=[30, 700], seed=[1]
+    "regions": Sweep(
+        control.measure_region, "a third of the peers cut off",
+        balancers=[12, 30, 60, 100], cut=[30, 700], seed=[1],
     ),
-    "regions_large": Part(
-        control.region, "the same, too large to be waited for", balancers=[200, 420], cut=[120], seed=[1]
+    "regions_large": Sweep(
+        control.measure_region, "a third cut off, in fleets too large to wait for detection by all",
+        balancers=[200, 420], cut=[120], seed=[1],
     ),
-    "mixed": Part(
-        mixed.fleet, "four real daemons among hollow peers", balancers=FLEETS, real=[4], seed=[1]
+    "mixed": Sweep(
+        mixed.measure_mixed_fleet, "four real daemons among simulated peers",
+        balancers=FLEET_SIZES, real=[4], seed=[1],
     ),
-    "agree": Part(
-        control.agree, "hollow against real daemons",
+    "agree": Sweep(
+        control.compare_with_daemons, "simulated peers against real daemons",
         balancers=[12], kind=["hollow", "real"], quiet=[30], seed=[1, 2],
     ),
 }  # fmt: skip
 
 
-def add_to(commands: "argparse._SubParsersAction") -> None:
-    scale = commands.add_parser("scale", help="measure what the program costs by size (docs/CAPACITY.md)")
-    known = f"of {', '.join(PARTS)}; `fits`: tables and charts of what is there; `all`"
-    scale.add_argument("parts", nargs="+", choices=[*PARTS, "fits", "all"], metavar="PART", help=known)
-    scale.add_argument("--sizes", type=int, nargs="+", default=[], help="instead of the full sweep's")
-    scale.add_argument("--repeats", type=int, default=0, help="or seeds")
-    scale.add_argument("--again", action="store_true", help="measure rows again that are there")
-    scale.add_argument("--into", type=Path, default=FOLDER, help="the folder of CSV files and charts")
+def add_parser(commands: "argparse._SubParsersAction") -> None:
+    parser = commands.add_parser("scale", help="measure what the program costs by size (docs/CAPACITY.md)")
+    parts_help = f"of {', '.join(SWEEPS)}; `fits`: tables and charts of the measured rows; `all`"
+    parser.add_argument("parts", nargs="+", choices=[*SWEEPS, "fits", "all"], metavar="PART", help=parts_help)
+    parser.add_argument("--sizes", type=int, nargs="+", default=[], help="in place of the full sweep's")
+    parser.add_argument("--repeats", type=int, default=0, help="number of repeats or seeds")
+    parser.add_argument("--again", action="store_true", help="measure existing rows again")
+    parser.add_argument(
+        "--into", type=Path, default=RESULTS_FOLDER, help="folder of the CSV files and charts"
+    )
 
 
-def run(given: argparse.Namespace) -> int:
-    unbound()
-    given.into.mkdir(parents=True, exist_ok=True)
-    parts = [*PARTS, "fits"] if "all" in given.parts else given.parts
+def run(arguments: argparse.Namespace) -> int:
+    set_resource_limits()
+    arguments.into.mkdir(parents=True, exist_ok=True)
+    parts = [*SWEEPS, "fits"] if "all" in arguments.parts else arguments.parts
     for name in parts:
         if name == "fits":
-            from .page import write
+            from .report import write_report
 
-            write(given.into)
+            write_report(arguments.into)
             continue
-        part = PARTS[name]
-        sheet = Sheet(given.into / f"{name}.csv", tuple(part.keys))
-        names = list(part.names(given.sizes, given.repeats))
-        done = sheet.sweep(names, given.again, part.measure, lambda text: print(text, flush=True))
-        print(f"{name}: {part.title}: {done} of {len(names)} rows measured", file=sys.stderr)
+        sweep = SWEEPS[name]
+        table = CsvTable(arguments.into / f"{name}.csv", tuple(sweep.keys))
+        row_keys = list(sweep.row_keys(arguments.sizes, arguments.repeats))
+        measured = table.measure_missing(
+            row_keys, arguments.again, sweep.measure, lambda text: print(text, flush=True)
+        )
+        print(f"{name}: {sweep.title}: {measured} of {len(row_keys)} rows measured", file=sys.stderr)
     return 0
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -1,7 +1,9 @@
-"""Peers by size: the real control code of hundreds in one process, without sessions, sockets or a loop.
+"""The cost of the membership protocol by fleet size: real decisions of hundreds of peers in one process.
 
-What is left out against a daemon: system calls for datagrams, the loop's timers, the gathering of counts. How
-far that goes is measured by `agree`, on so many real daemons and as many hollow ones that hold as little.
+Left out, compared with a daemon: system calls for datagrams, the timers of the loop, and collecting the
+counts. `compare_with_daemons` measures how much that matters, on real daemons and on as many simulated peers
+that hold no sessions either. Parameters of the `measure_*` functions and keys of their results are columns of
+CSV files.
 """
 
 import os
@@ -10,287 +12,300 @@
 from ...peers.messages import Counts, Envelope, Kind, Message, Unusable
 from ...peers.node import Peers
 from ..measure import PATIENCE
+from ..membership import KEYS, SECOND, ActualSessions, MembershipSimulation, peak_in_one_second
 from ..play import settings
 from ..stage import KEY, Processes, cpu_seconds
-from ..talk import KEYS, SECOND, Talk, Truth, most_in_a_second
-from .process import apart, memory
+from .process import resident_bytes, run_in_subprocess
 
-SENT = ("ping", "ack", "ask", "proof", "news", "counts")
-LARGE = 200
-REGIONS = 3  # balancers are in so many regions
-PARTS = (0.5, 0.99, 1.0)  # of those that are to know
+MESSAGE_KINDS = ("ping", "ack", "ask", "proof", "news", "counts")
+LARGE_FLEET = 200
+REGIONS = 3  # the balancers are spread over this many regions
+KNOWN_FRACTIONS = (0.5, 0.99, 1.0)  # of those that have to learn of an event
 
 
-def kind_of(message: Message) -> str:
+def message_kind(message: Message) -> str:
     if message.kind == Kind.COUNTS:
         return "counts" if message.counts is not None else "news"
     return Kind(message.kind).name.lower()
 
 
-class Tally:
-    """Datagrams and their bytes, by kind."""
+class MessageTally:
+    """Number and bytes of datagrams, by kind of message."""
 
     def __init__(self) -> None:
         self.count: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
 
-    def note(self, message: Message, size: int) -> None:
-        self.count[kind_of(message)] += 1
-        self.bytes[kind_of(message)] += size
+    def add(self, message: Message, size: int) -> None:
+        self.count[message_kind(message)] += 1
+        self.bytes[message_kind(message)] += size
 
-    def taken(self) -> "Tally":
-        """What was noted since this was last asked."""
-        taken = Tally()
+    def take(self) -> "MessageTally":
+        """Returns what was added since the last call, and resets the tally."""
+        taken = MessageTally()
         self.count, taken.count = taken.count, self.count
         self.bytes, taken.bytes = taken.bytes, self.bytes
         return taken
 
 
-class Counted(Envelope):
-    def __init__(self, tally: Tally) -> None:
+class CountingEnvelope(Envelope):
+    """An envelope that adds each message it closes to a tally."""
+
+    def __init__(self, tally: MessageTally) -> None:
         super().__init__("lab", list(KEYS))
         self.tally = tally
 
     def close(self, message: Message) -> bytes:
         data = super().close(message)
-        self.tally.note(message, len(data))
+        self.tally.add(message, len(data))
         return data
 
 
-class Still(Truth):
-    """A balancer that holds nothing."""
+class NoSessions(ActualSessions):
+    """A balancer that holds no sessions."""
 
-    def change(self) -> Counts:
+    def update(self) -> Counts:
         return Counts(1, list_version=1)
 
 
-class Hollow(Talk):
-    def __init__(self, balancers: int, seed: int, still: bool = False, **more: object) -> None:
-        self.tally = Tally()
-        self.still = still
-        super().__init__(balancers, seed, **more)
+class CountingSimulation(MembershipSimulation):
+    """A simulation that counts the messages sent, by kind; if `is_idle`, no balancer holds sessions."""
+
+    def __init__(self, balancers: int, seed: int, is_idle: bool = False, **overrides: object) -> None:
+        self.tally = MessageTally()
+        self.is_idle = is_idle
+        super().__init__(balancers, seed, **overrides)
 
-    def start(self, name: str, where: str, unix_ms: int = 0) -> Peers:
-        node = super().start(name, where, unix_ms)
-        self.envelopes[where] = Counted(self.tally)
-        if self.still:
-            self.truths[where] = Still(self.chance, 1)
+    def start(self, name: str, address: str, unix_ms: int = 0) -> Peers:
+        node = super().start(name, address, unix_ms)
+        self.envelopes[address] = CountingEnvelope(self.tally)
+        if self.is_idle:
+            self.actual_sessions[address] = NoSessions(self.rng, 1)
         return node
 
-    def most(self) -> int:
-        """Bytes by one of them in any second since this was last asked."""
-        most = max(most_in_a_second(sends) for sends in self.sent.values() if sends)
-        for sends in self.sent.values():
-            sends.clear()
-        return most
+    def take_peak_bytes(self) -> int:
+        """Most bytes that any peer sent in one second since the last call."""
+        peak = max(peak_in_one_second(datagrams) for datagrams in self.sent.values() if datagrams)
+        for datagrams in self.sent.values():
+            datagrams.clear()
+        return peak
 
-    def until_known(self, name: str, within: int) -> tuple[float, float, float]:
-        """Seconds until a death is known to half, to 99 of 100 and to all; -1 where that did not come."""
+    def detection_times(self, name: str, timeout: int) -> tuple[float, float, float]:
+        """Seconds until a death is known to half, 99 % and all of the peers; -1 where the time runs out."""
         since, alive = self.now, len(self.alive())
         times = [-1.0, -1.0, -1.0]
-        while self.now - since < within and times[2] < 0:
+        while self.now - since < timeout and times[2] < 0:
             self.run(SECOND // 10)
-            holders = self.holders(name)
-            for at, part in enumerate(PARTS):
-                if times[at] < 0 and holders <= alive * (1 - part) + 1e-9:
-                    times[at] = (self.now - since) / SECOND
+            holders = self.count_holders(name)
+            for index, fraction in enumerate(KNOWN_FRACTIONS):
+                if times[index] < 0 and holders <= alive * (1 - fraction) + 1e-9:
+                    times[index] = (self.now - since) / SECOND
         return tuple(times)
 
 
-def fleet(balancers: int, send_most: int, seed: int, quiet: int) -> dict:
-    """All acquainted; an ordinary stretch of `quiet` seconds, then one death."""
-    return apart(fleet_here, balancers=balancers, send_most=send_most, seed=seed, quiet=quiet)
-
-
-def fleet_here(balancers: int, send_most: int, seed: int, quiet: int) -> dict:
-    own = memory(os.getpid())
-    talk = Hollow(balancers, seed, send_most=send_most, take_most=max(500, send_most // 40))
-    talk.acquaint()
-    # Long enough that each has told each at the usual 110 bytes, within what may be sent of them.
-    settle = int(min(max(10, 110 * balancers * 1.5 / (0.65 * send_most)), 100))
-    for _ in range(settle):
-        talk.run(SECOND)
-        talk.most()
-    held = memory(os.getpid()) - own
-    spent = talk.spent
-    talk.tally.taken()
-    talk.run(quiet * SECOND)
-    spent = talk.spent - spent
-    tally = talk.tally.taken()
-    sums = [node.sum(talk.now) for node in talk.alive().values()]
-    ages = sorted(one.oldest / SECOND for one in sums)
-    calm_most = talk.most()
-    talk.kill(balancers // 2)
-    before, since = talk.spent, talk.now
-    known = talk.until_known(f"b{balancers // 2}", 30 * SECOND)
-    seconds = balancers * quiet
+def measure_fleet(balancers: int, send_most: int, seed: int, quiet: int) -> dict:
+    """All know each other; `quiet` seconds of normal operation, then one death."""
+    return run_in_subprocess(
+        measure_fleet_in_process, balancers=balancers, send_most=send_most, seed=seed, quiet=quiet
+    )
+
+
+def measure_fleet_in_process(balancers: int, send_most: int, seed: int, quiet: int) -> dict:
+    memory_before = resident_bytes(os.getpid())
+    simulation = CountingSimulation(balancers, seed, send_most=send_most, take_most=max(500, send_most // 40))
+    simulation.introduce_all()
+    # Long enough for each peer to report to each other one, at the usual 110 bytes of a report and within the
+    # share of the allowed bytes that reports may use.
+    settle_seconds = int(min(max(10, 110 * balancers * 1.5 / (0.65 * send_most)), 100))
+    for _ in range(settle_seconds):
+        simulation.run(SECOND)
+        simulation.take_peak_bytes()
+    memory = resident_bytes(os.getpid()) - memory_before
+    cpu = simulation.cpu_seconds
+    simulation.tally.take()
+    simulation.run(quiet * SECOND)
+    cpu = simulation.cpu_seconds - cpu
+    tally = simulation.tally.take()
+    sums = [node.sum(simulation.now) for node in simulation.alive().values()]
+    ages = sorted(total.oldest / SECOND for total in sums)
+    peak_bytes = simulation.take_peak_bytes()
+    simulation.kill(balancers // 2)
+    cpu_at, since = simulation.cpu_seconds, simulation.now
+    detected = simulation.detection_times(f"b{balancers // 2}", 30 * SECOND)
+    balancer_seconds = balancers * quiet
     return {
-        **{kind: f"{tally.count[kind] / seconds:.3f}" for kind in SENT},
-        **{f"{kind}_bytes": f"{tally.bytes[kind] / seconds:.1f}" for kind in SENT},
-        "messages": f"{tally.count.total() / seconds:.3f}",
-        "bytes": f"{tally.bytes.total() / seconds:.1f}",
-        "bytes_most": calm_most,
-        "core": f"{spent / seconds:.6f}",
-        "memory": f"{held / balancers:.0f}",
-        "memory_a_peer": f"{held / balancers / max(balancers - 1, 1):.0f}",
+        **{kind: f"{tally.count[kind] / balancer_seconds:.3f}" for kind in MESSAGE_KINDS},
+        **{f"{kind}_bytes": f"{tally.bytes[kind] / balancer_seconds:.1f}" for kind in MESSAGE_KINDS},
+        "messages": f"{tally.count.total() / balancer_seconds:.3f}",
+        "bytes": f"{tally.bytes.total() / balancer_seconds:.1f}",
+        "bytes_most": peak_bytes,
+        "core": f"{cpu / balancer_seconds:.6f}",
+        "memory": f"{memory / balancers:.0f}",
+        "memory_a_peer": f"{memory / balancers / max(balancers - 1, 1):.0f}",
         "oldest": f"{ages[len(ages) // 2]:.1f}",
-        "covered": f"{min(one.part for one in sums):.3f}",
-        "death_half": known[0], "death_99": known[1], "death_all": known[2],
-        "death_bytes_most": talk.most(),
-        "death_core": f"{(talk.spent - before) / balancers / max((talk.now - since) / SECOND, 0.1):.6f}",
+        "covered": f"{min(total.part for total in sums):.3f}",
+        "death_half": detected[0], "death_99": detected[1], "death_all": detected[2],
+        "death_bytes_most": simulation.take_peak_bytes(),
+        "death_core":
+        f"{(simulation.cpu_seconds - cpu_at) / balancers / max((simulation.now - since) / SECOND, 0.1):.6f}",
     }  # fmt: skip
 
 
-def meeting(balancers: int, send_most: int, seed: int) -> dict:
+def measure_meeting(balancers: int, send_most: int, seed: int) -> dict:
     """All start together and know three addresses."""
-    return apart(meeting_here, balancers=balancers, send_most=send_most, seed=seed)
+    return run_in_subprocess(measure_meeting_in_process, balancers=balancers, send_most=send_most, seed=seed)
 
 
-def meeting_here(balancers: int, send_most: int, seed: int) -> dict:
-    talk = Hollow(balancers, seed, send_most=send_most, take_most=max(500, send_most // 40))
-    took = until_agreed(talk, 400 * SECOND)
-    seconds = balancers * (talk.now - 1_000 * SECOND) / SECOND
+def measure_meeting_in_process(balancers: int, send_most: int, seed: int) -> dict:
+    simulation = CountingSimulation(balancers, seed, send_most=send_most, take_most=max(500, send_most // 40))
+    duration = time_until_agreed(simulation, 400 * SECOND)
+    balancer_seconds = balancers * (simulation.now - 1_000 * SECOND) / SECOND
     return {
-        "met": took / SECOND if took >= 0 else -1,
-        "bytes_a_pair": f"{talk.tally.bytes.total() / (balancers * (balancers - 1)):.0f}",
-        "core": f"{talk.spent / seconds:.6f}",
+        "met": duration / SECOND if duration >= 0 else -1,
+        "bytes_a_pair": f"{simulation.tally.bytes.total() / (balancers * (balancers - 1)):.0f}",
+        "core": f"{simulation.cpu_seconds / balancer_seconds:.6f}",
     }
 
 
-def until_agreed(talk: Talk, within: int) -> int:
-    """How long it took, -1 if it did not come; of large fleets to the second, as a look at all is dear."""
-    if len(talk.nodes) <= LARGE:
-        return talk.run_until(talk.agree, within)
-    begin = talk.now
-    while not talk.agree():
-        if talk.now - begin >= within:
+def time_until_agreed(simulation: MembershipSimulation, timeout: int) -> int:
+    """Time until all agree, -1 on timeout; in whole seconds for large fleets, as each check is slow."""
+    if len(simulation.nodes) <= LARGE_FLEET:
+        return simulation.run_until(simulation.all_agree, timeout)
+    begin = simulation.now
+    while not simulation.all_agree():
+        if simulation.now - begin >= timeout:
             return -1
-        talk.run(SECOND)
-    return talk.now - begin
-
-
-def region(balancers: int, cut: int, seed: int) -> dict:
-    """One of three regions hears nothing of the others for `cut` seconds; then how long until all agree."""
-    return apart(region_here, balancers=balancers, cut=cut, seed=seed)
-
-
-def region_here(balancers: int, cut: int, seed: int) -> dict:
-    talk = Hollow(balancers, seed)
-    talk.acquaint()
-    talk.run(10 * SECOND)
-    talk.most()
-    away = {f"b{at}" for at in range(balancers) if at % REGIONS == REGIONS - 1}
-    home = {f"b{at}" for at in range(balancers)} - away
-    split = Cut(talk, away)
-    pairs = 2 * len(away) * len(home)
-    known = [-1.0, -1.0, -1.0]
-    part = 0.0
+        simulation.run(SECOND)
+    return simulation.now - begin
+
+
+def measure_region(balancers: int, cut: int, seed: int) -> dict:
+    """One of three regions is cut off from the others for `cut` seconds; then the time until all agree."""
+    return run_in_subprocess(measure_region_in_process, balancers=balancers, cut=cut, seed=seed)
+
+
+def measure_region_in_process(balancers: int, cut: int, seed: int) -> dict:
+    simulation = CountingSimulation(balancers, seed)
+    simulation.introduce_all()
+    simulation.run(10 * SECOND)
+    simulation.take_peak_bytes()
+    cut_off = {f"b{index}" for index in range(balancers) if index % REGIONS == REGIONS - 1}
+    others = {f"b{index}" for index in range(balancers)} - cut_off
+    region_cut = RegionCut(simulation, cut_off)
+    pairs = 2 * len(cut_off) * len(others)
+    detected = [-1.0, -1.0, -1.0]
+    known_fraction = 0.0
     for second in range(cut):
-        talk.run(SECOND)
-        talk.most()
-        part = 1 - across(talk, away) / pairs
-        for at, wanted in enumerate(PARTS):
-            if known[at] < 0 and part >= wanted:
-                known[at] = second + 1.0
-    split.on = False
-    spent, since = talk.spent, talk.now
-    healed = until_agreed(talk, 240 * SECOND)
-    after = (talk.now - since) / SECOND
+        simulation.run(SECOND)
+        simulation.take_peak_bytes()
+        known_fraction = 1 - count_pairs_across(simulation, cut_off) / pairs
+        for index, wanted in enumerate(KNOWN_FRACTIONS):
+            if detected[index] < 0 and known_fraction >= wanted:
+                detected[index] = second + 1.0
+    region_cut.is_active = False
+    cpu_before, since = simulation.cpu_seconds, simulation.now
+    healed = time_until_agreed(simulation, 240 * SECOND)
+    seconds = (simulation.now - since) / SECOND
     return {
-        "known_half": known[0], "known_99": known[1], "known_all": known[2], "known_part": f"{part:.4f}",
+        "known_half": detected[0], "known_99": detected[1], "known_all": detected[2],
+        "known_part": f"{known_fraction:.4f}",
         "healed": healed / SECOND if healed >= 0 else -1,
-        "bytes_most": talk.most(),
-        "core_after": f"{(talk.spent - spent) / balancers / max(after, 0.1):.6f}",
-        "pairs_missing": missing_pairs(talk),
+        "bytes_most": simulation.take_peak_bytes(),
+        "core_after": f"{(simulation.cpu_seconds - cpu_before) / balancers / max(seconds, 0.1):.6f}",
+        "pairs_missing": count_missing_pairs(simulation),
     }  # fmt: skip
 
 
-class Cut:
-    """Nothing passes between one side and the other while it is on."""
+class RegionCut:
+    """While active, drops all datagrams between one group of peers and the others."""
 
-    def __init__(self, talk: Talk, side: set[str]) -> None:
-        self.beyond, talk.faults.fates = talk.faults.fates, self.fates
-        self.side = side
-        self.on = True
+    def __init__(self, simulation: MembershipSimulation, group: set[str]) -> None:
+        self.original_fates, simulation.faults.fates = simulation.faults.fates, self.fates
+        self.group = group
+        self.is_active = True
 
     def fates(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
-        if self.on and (source in self.side) != (target in self.side):
+        if self.is_active and (source in self.group) != (target in self.group):
             return []
-        return self.beyond(now, source, target, data)
+        return self.original_fates(now, source, target, data)
 
 
-def across(talk: Talk, away: set[str]) -> int:
-    """Pairs of which one, beyond the cut, is still held to be here by the other."""
+def count_pairs_across(simulation: MembershipSimulation, cut_off: set[str]) -> int:
+    """Pairs across the cut of which one still considers the other to be alive."""
     return sum(
-        (peer.name in away) != (node.name in away) and not peer.gone
-        for node in talk.alive().values()
+        (peer.name in cut_off) != (node.name in cut_off) and not peer.gone
+        for node in simulation.alive().values()
         for peer in node.peers.values()
     )
 
 
-def missing_pairs(talk: Talk) -> int:
-    alive = talk.alive().values()
+def count_missing_pairs(simulation: MembershipSimulation) -> int:
+    """Pairs of running peers of which one does not consider the other to be alive."""
+    alive = simulation.alive().values()
     return sum(len(alive) - 1 - sum(not peer.gone for peer in node.peers.values()) for node in alive)
 
 
-# Hollow against real
+# Simulated peers against real daemons
 
 
-class Sniffed:
-    """Stands before the relays' faults and looks into what passes."""
+class TrafficMonitor:
+    """Counts the datagrams of real daemons as they reach the relays, before faults apply."""
 
     def __init__(self, stage: Processes) -> None:
-        self.tally = Tally()
+        self.tally = MessageTally()
         self.envelope = Envelope("lab", [bytes.fromhex(KEY)])
-        self.beyond, stage.faults.fates = stage.faults.fates, self.fates
+        self.original_fates, stage.faults.fates = stage.faults.fates, self.fates
 
     def fates(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
         try:
-            self.tally.note(self.envelope.open(data), len(data))
+            self.tally.add(self.envelope.open(data), len(data))
         except Unusable:
             self.tally.count["unusable"] += 1
-        return self.beyond(now, source, target, data)
+        return self.original_fates(now, source, target, data)
 
 
-def agree(balancers: int, kind: str, seed: int, quiet: int) -> dict:
+def compare_with_daemons(balancers: int, kind: str, seed: int, quiet: int) -> dict:
+    """`kind`: "hollow" for simulated peers, else real daemons, less the cost of daemons without peers."""
     if kind == "hollow":
-        return apart(hollow_here, balancers=balancers, seed=seed, quiet=quiet)
-    told = settings(balancers, ["m1"], ["a"])
-    with Processes(seed, told, {}) as stage:
+        return run_in_subprocess(measure_simulated_in_process, balancers=balancers, seed=seed, quiet=quiet)
+    deployment = settings(balancers, ["m1"], ["a"])
+    with Processes(seed, deployment, {}) as stage:
         names = stage.bring_up(balancers)
-        stage.run_until(lambda: all(stage.here(n) == balancers - 1 for n in stage.alive), PATIENCE)
+        stage.run_until(lambda: all(stage.here(name) == balancers - 1 for name in stage.alive), PATIENCE)
         stage.run(30 * SECOND)
-        sniffed = Sniffed(stage)
-        core = cost(stage, names, quiet)
-        tally = sniffed.tally
-    with Processes(seed, told, None) as stage:
-        core -= cost(stage, stage.bring_up(balancers), quiet)
-    return shown(tally, balancers, quiet, core)
+        monitor = TrafficMonitor(stage)
+        core = mean_core_usage(stage, names, quiet)
+        tally = monitor.tally
+    with Processes(seed, deployment, None) as stage:
+        core -= mean_core_usage(stage, stage.bring_up(balancers), quiet)
+    return format_row(tally, balancers, quiet, core)
 
 
-def cost(stage: Processes, names: list[str], quiet: int) -> float:
-    """Part of a core that each takes."""
+def mean_core_usage(stage: Processes, names: list[str], quiet: int) -> float:
+    """Mean fraction of a core that each daemon uses over `quiet` seconds."""
     before = sum(cpu_seconds(stage.running[name].pid) for name in names)
     stage.run(quiet * SECOND)
     after = sum(cpu_seconds(stage.running[name].pid) for name in names)
     return (after - before) / len(names) / quiet
 
 
-def hollow_here(balancers: int, seed: int, quiet: int) -> dict:
-    talk = Hollow(balancers, seed, still=True)
-    talk.run_until(talk.agree, 60 * SECOND)
-    talk.run(30 * SECOND)
-    spent = talk.spent
-    talk.tally.taken()
-    talk.run(quiet * SECOND)
-    return shown(talk.tally, balancers, quiet, (talk.spent - spent) / balancers / quiet)
+def measure_simulated_in_process(balancers: int, seed: int, quiet: int) -> dict:
+    simulation = CountingSimulation(balancers, seed, is_idle=True)
+    simulation.run_until(simulation.all_agree, 60 * SECOND)
+    simulation.run(30 * SECOND)
+    cpu_before = simulation.cpu_seconds
+    simulation.tally.take()
+    simulation.run(quiet * SECOND)
+    return format_row(
+        simulation.tally, balancers, quiet, (simulation.cpu_seconds - cpu_before) / balancers / quiet
+    )
 
 
-def shown(tally: Tally, balancers: int, quiet: int, core: float) -> dict:
-    seconds = balancers * quiet
+def format_row(tally: MessageTally, balancers: int, quiet: int, core: float) -> dict:
+    balancer_seconds = balancers * quiet
     return {
-        **{kind: f"{tally.count[kind] / seconds:.3f}" for kind in SENT},
-        "messages": f"{tally.count.total() / seconds:.3f}",
-        "bytes": f"{tally.bytes.total() / seconds:.1f}",
+        **{kind: f"{tally.count[kind] / balancer_seconds:.3f}" for kind in MESSAGE_KINDS},
+        "messages": f"{tally.count.total() / balancer_seconds:.3f}",
+        "bytes": f"{tally.bytes.total() / balancer_seconds:.1f}",
         "core": f"{core:.6f}",
     }
--- a/thymedeck/lab/scale/daemon.py
+++ b/thymedeck/lab/scale/daemon.py
@@ -1,4 +1,4 @@
-"""One real daemon of a sweep: started from a file of its own, watched by the kernel's counts, and its log."""
+"""One real daemon of a sweep: started from its own file, observed through kernel counters and its log."""
 
 import contextlib
 import signal
@@ -14,88 +14,94 @@
 
 from ..play import settings
 from ..stage import KEY
-from .process import cpu, descriptors, memory
+from .process import cpu_seconds, open_descriptors, resident_bytes
 
-READY_WITHIN = 60.0
-ENDS_WITHIN = 30.0
-NOWHERE = "127.0.0.1:9"  # where no list service listens
+READY_TIMEOUT = 60.0
+STOP_TIMEOUT = 30.0
+NO_DISCOVERY = "127.0.0.1:9"  # an address at which no list service listens
 
 
 class Daemon:
+    """A running `thymedeck serve`; killed on close."""
+
     def __init__(
-        self, servers: list[dict], discovery: str = NOWHERE, name: str = "b0", peers: dict | None = None
+        self,
+        servers: list[dict],
+        discovery: str = NO_DISCOVERY,
+        name: str = "b0",
+        peers: dict | None = None,
     ) -> None:
-        """`servers` as the list of before names them, none: all are asked for; `peers`: of their file."""
+        """`servers`: the list in its file, if empty it asks for all; `peers`: entries of its peers file."""
         self.folder = tempfile.TemporaryDirectory(prefix="thymedeck-scale-")
         self.log = Path(self.folder.name, "log")
-        given = settings(1, ["m1"], ["a"])
-        given["limits"] |= {"dial_timeout_us": 2_000_000}
-        told = {
-            "name": name, "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1", "settings": given,
-            "known": {"version": 1 if servers else -1, "servers": servers},
+        deployment = settings(1, ["m1"], ["a"])
+        deployment["limits"] |= {"dial_timeout_us": 2_000_000}
+        config = {
+            "name": name, "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
+            "settings": deployment, "known": {"version": 1 if servers else -1, "servers": servers},
         }  # fmt: skip
-        file = Path(self.folder.name, "told.json")
-        file.write_bytes(orjson.dumps(told))
-        call = [sys.executable, "-m", "thymedeck", "serve", "--config", file]
+        config_file = Path(self.folder.name, "told.json")
+        config_file.write_bytes(orjson.dumps(config))
+        command = [sys.executable, "-m", "thymedeck", "serve", "--config", config_file]
         if peers is not None:
-            key = Path(self.folder.name, "peers.key")
-            key.touch(mode=0o600)
-            key.write_text(KEY)
+            key_file = Path(self.folder.name, "peers.key")
+            key_file.touch(mode=0o600)
+            key_file.write_text(KEY)
             text = [f"{name} = {orjson.dumps(value).decode()}\n" for name, value in peers.items()]
             Path(self.folder.name, "peers.toml").write_text("".join(text) + 'key_file = "peers.key"\n')
-            call += ["--peers", Path(self.folder.name, "peers.toml")]
+            command += ["--peers", Path(self.folder.name, "peers.toml")]
         begin = time.monotonic()
-        with self.log.open("wb") as out:
-            self.process = subprocess.Popen(call, stdout=out, cwd=Path(__file__).parents[3])
+        with self.log.open("wb") as output:
+            self.process = subprocess.Popen(command, stdout=output, cwd=Path(__file__).parents[3])
         self.pid = self.process.pid
         try:
-            self.port = int(self.await_line("started")["listen"].rpartition(":")[2])
+            self.port = int(self.wait_for_event("started")["listen"].rpartition(":")[2])
         except BaseException:
             self.close()
             raise
-        self.ready = time.monotonic() - begin
+        self.startup_seconds = time.monotonic() - begin
 
-    def await_line(self, event: str, within: float = READY_WITHIN) -> dict:
-        """The last line of this event; raises TimeoutError where none comes."""
-        end = time.monotonic() + within
+    def wait_for_event(self, event: str, timeout: float = READY_TIMEOUT) -> dict:
+        """The last log line of this event; raises TimeoutError if there is none in time."""
+        end = time.monotonic() + timeout
         while time.monotonic() < end:
-            found = self.events(event)
-            if found:
-                return found[-1]
+            lines = self.events(event)
+            if lines:
+                return lines[-1]
             time.sleep(0.01)
-        raise TimeoutError(f"no line {event!r} in the log")
+        raise TimeoutError(f"no event {event!r} in the daemon's log")
 
     def events(self, event: str) -> list[dict]:
         mark = b'"event":"%s"' % event.encode()
         return [orjson.loads(line) for line in self.log.read_bytes().splitlines() if mark in line]
 
-    def cpu(self) -> float:
-        return cpu(self.pid)
+    def cpu_seconds(self) -> float:
+        return cpu_seconds(self.pid)
 
-    def memory(self) -> int:
-        return memory(self.pid)
+    def resident_bytes(self) -> int:
+        return resident_bytes(self.pid)
 
-    def descriptors(self) -> int:
-        return descriptors(self.pid)
+    def open_descriptors(self) -> int:
+        return open_descriptors(self.pid)
 
-    def rate(self, seconds: float) -> float:
-        """Part of a core over so long."""
-        before, begin = self.cpu(), time.monotonic()
+    def core_usage(self, seconds: float) -> float:
+        """Fraction of a core that the daemon uses over so many seconds."""
+        before, begin = self.cpu_seconds(), time.monotonic()
         time.sleep(seconds)
-        return (self.cpu() - before) / (time.monotonic() - begin)
+        return (self.cpu_seconds() - before) / (time.monotonic() - begin)
 
     def stop(self) -> tuple[float, float]:
-        """SIGTERM; returns processor time (last seen) and time until it ended by itself."""
-        before, begin, seen = self.cpu(), time.monotonic(), 0.0
+        """Sends SIGTERM; returns the processor time last seen and the time until the process ended."""
+        before, begin, cpu = self.cpu_seconds(), time.monotonic(), 0.0
         self.process.send_signal(signal.SIGTERM)
-        while self.process.poll() is None and time.monotonic() < begin + ENDS_WITHIN:
+        while self.process.poll() is None and time.monotonic() < begin + STOP_TIMEOUT:
             with contextlib.suppress(OSError, IndexError):
-                seen = max(seen, self.cpu() - before)
+                cpu = max(cpu, self.cpu_seconds() - before)
             time.sleep(0.002)
-        return seen, time.monotonic() - begin
+        return cpu, time.monotonic() - begin
 
-    def longest_wait(self, seconds: float) -> float:
-        """Of PINGs sent one after the other, the longest until its PONG: what a turn of the loop took."""
+    def longest_ping(self, seconds: float) -> float:
+        """Sends PINGs one after another; returns the longest round trip, which bounds a turn of the loop."""
         longest, end = 0.0, time.monotonic() + seconds
         while time.monotonic() < end:
             longest = max(longest, self.ping())
@@ -118,10 +124,10 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, why: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.close()
 
 
-def row_of(ident: str, port: int) -> dict:
-    return {"id": ident, "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "m1", "state": "SERVING"}
+def server_entry(server_id: str, port: int) -> dict:
+    return {"id": server_id, "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "m1", "state": "SERVING"}
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -1,7 +1,8 @@
-"""A few real daemons among hollow peers on loopback, which share one process: the cost of real sockets.
+"""A few real daemons among simulated peers on loopback: the cost of peers with real sockets.
 
-The hollow ones run the very decisions, envelopes and datagrams, on one loop, and hold a few sessions as rows.
-They know each other at the start; the real daemons have to meet them all. Left out: the service beside them.
+The simulated peers run the real decisions, envelopes and datagrams on one event loop in this process, with a
+few sessions each and without the rest of a balancer. They know each other at the start; the daemons have to
+meet all of them.
 """
 
 import contextlib
@@ -15,50 +16,50 @@
 from ...peers.messages import LARGEST, Envelope, Unusable
 from ...peers.node import TICK, Peer, Peers
 from ...peers.words import Action, Came, Counted, Send, Tick
+from ..membership import SECOND, ActualSessions, peer_settings
 from ..stage import KEY
-from ..talk import SECOND, Truth, stated
-from .control import Tally
+from .control import MessageTally
 from .daemon import Daemon
 
-JOINED = 3
-QUIET = 20.0  # seconds that are measured
+JOIN_ADDRESSES = 3
+MEASURED_SECONDS = 20.0
 SERVERS = 60
 
 
-class Member:
-    """One hollow peer with a socket of its own."""
+class SimulatedPeer:
+    """One peer with its own socket, on a loop shared by all of them."""
 
     def __init__(
-        self, loop: Loop, name: str, address: tuple[str, int], chance: random.Random, size: int
+        self, loop: Loop, name: str, address: tuple[str, int], rng: random.Random, fleet_size: int
     ) -> None:
         self.loop = loop
         self.sock = loop.system.datagram(address)
         self.sock.setblocking(False)
         self.address = "{}:{}".format(*self.sock.getsockname())
-        own = stated(0, advertise=self.address)
+        settings = peer_settings(0, advertise=self.address)
         unix_ms = loop.system.time_ns() // 1_000_000
-        self.peers = Peers(own, name, chance.getrandbits(60), loop.now(), unix_ms, size)
+        self.peers = Peers(settings, name, rng.getrandbits(60), loop.now(), unix_ms, fleet_size)
         self.envelope = Envelope("lab", [bytes.fromhex(KEY)])
-        self.truth = Truth(random.Random(chance.getrandbits(60)), SERVERS)
-        self.tally = Tally()  # of what came from each real daemon
-        self.real: frozenset[str] = frozenset()
+        self.sessions = ActualSessions(random.Random(rng.getrandbits(60)), SERVERS)
+        self.tally = MessageTally()  # of messages from the real daemons
+        self.daemon_names: frozenset[str] = frozenset()
         loop.watch(self.sock, 0, READ, self)
-        loop.after(chance.randrange(TICK), self.tick)
-        loop.after(chance.randrange(SECOND), self.recount)
+        loop.after(rng.randrange(TICK), self.tick)
+        loop.after(rng.randrange(SECOND), self.update_counts)
 
     def tick(self) -> None:
         self.loop.after(TICK, self.tick)
         self.carry_out(self.peers.handle(self.loop.now(), Tick()))
 
-    def recount(self) -> None:
-        self.loop.after(SECOND, self.recount)
-        self.carry_out(self.peers.handle(self.loop.now(), Counted(self.truth.change())))
+    def update_counts(self) -> None:
+        self.loop.after(SECOND, self.update_counts)
+        self.carry_out(self.peers.handle(self.loop.now(), Counted(self.sessions.update())))
 
     def carry_out(self, actions: list[Action]) -> None:
-        for one in actions:
-            if isinstance(one, Send):
+        for action in actions:
+            if isinstance(action, Send):
                 with contextlib.suppress(OSError):
-                    self.sock.sendto(self.envelope.close(one.message), server_address(one.address))
+                    self.sock.sendto(self.envelope.close(action.message), server_address(action.address))
 
     def ready(self, mask: int) -> None:
         while True:
@@ -68,93 +69,109 @@
                 return
             with contextlib.suppress(Unusable):
                 message = self.envelope.open(data)
-                if message.name in self.real:
-                    self.tally.note(message, len(data))
+                if message.name in self.daemon_names:
+                    self.tally.add(message, len(data))
                 self.carry_out(self.peers.handle(self.loop.now(), Came(message, len(data))))
 
 
-def acquaint(members: list[Member], chance: random.Random, now: int) -> None:
-    for member in members:
+def introduce_all(simulated: list[SimulatedPeer], rng: random.Random, now: int) -> None:
+    """Makes the simulated peers know each other."""
+    for member in simulated:
         node = member.peers
-        for other in members:
+        for other in simulated:
             if other is not member:
-                them = other.peers
-                peer = Peer(them.name, other.address, them.incarnation, now)
-                peer.token, peer.link = them.token_for(member.address), them.chain.link(0)
+                other_node = other.peers
+                peer = Peer(other_node.name, other.address, other_node.incarnation, now)
+                peer.token, peer.link = other_node.token_for(member.address), other_node.chain.link(0)
                 node.peers[peer.name] = node.by_key[peer.key] = peer
                 node.telling.append(peer)
-        chance.shuffle(node.telling)
+        rng.shuffle(node.telling)
 
 
-def fleet(balancers: int, real: int, seed: int) -> dict:
-    """`real` of them are daemons. Raises TimeoutError where they don't meet all within some minutes."""
-    chance = random.Random(seed)
-    loop = Loop(fail, 1 << 20, System())
-    host = f"127.{os.getpid() % 250 + 1}.{chance.randrange(256)}.{chance.randrange(1, 255)}"
-    members = [
-        Member(loop, f"h{at}", (host, 20_000 + at), chance, balancers) for at in range(balancers - real)
+def measure_mixed_fleet(balancers: int, real: int, seed: int) -> dict:
+    """`real` of the balancers are daemons. Raises TimeoutError if they do not meet all others in time.
+
+    The parameters and the keys of the result are columns of a CSV file.
+    """
+    rng = random.Random(seed)
+    loop = Loop(raise_fault, 1 << 20, System())
+    host = f"127.{os.getpid() % 250 + 1}.{rng.randrange(256)}.{rng.randrange(1, 255)}"
+    simulated = [
+        SimulatedPeer(loop, f"h{index}", (host, 20_000 + index), rng, balancers)
+        for index in range(balancers - real)
     ]
-    acquaint(members, chance, loop.now())
-    join = [member.address for member in members[:JOINED]]
-    names = frozenset(f"b{at}" for at in range(real))
-    for member in members:
-        member.real = names
-    with contextlib.ExitStack() as held:
+    introduce_all(simulated, rng, loop.now())
+    join = [member.address for member in simulated[:JOIN_ADDRESSES]]
+    daemon_names = frozenset(f"b{index}" for index in range(real))
+    for member in simulated:
+        member.daemon_names = daemon_names
+    with contextlib.ExitStack() as stack:
         daemons = []
-        for at, name in enumerate(sorted(names)):
+        for index, name in enumerate(sorted(daemon_names)):
             peers = {
                 "fleet": "lab",
-                "listen": f"{host}:{30_000 + at}",
+                "listen": f"{host}:{30_000 + index}",
                 "join": join,
                 "answer_within": "300 ms",
             }
-            daemons.append(held.enter_context(Daemon([], name=name, peers=peers)))
+            daemons.append(stack.enter_context(Daemon([], name=name, peers=peers)))
         begin = time.monotonic()
-        bare = [daemon.memory() for daemon in daemons]
-        within = 60 + balancers
-        while not all(here(daemon) == balancers - 1 for daemon in daemons):
-            if time.monotonic() - begin > within:
-                raise TimeoutError(f"{[here(daemon) for daemon in daemons]} of {balancers - 1} met")
-            turn(loop, 1.0)
-        met = time.monotonic() - begin
-        turn(loop, 10.0)
-        for member in members:
-            member.tally.taken()
-        before, own, began = [daemon.cpu() for daemon in daemons], time.process_time(), time.monotonic()
-        turn(loop, QUIET)
-        span = time.monotonic() - began
-        own = time.process_time() - own
-        cores = [(daemon.cpu() - was) / span for daemon, was in zip(daemons, before, strict=True)]
-        more = [daemon.memory() - was for daemon, was in zip(daemons, bare, strict=True)]
-    for member in members:
+        memory_before = [daemon.resident_bytes() for daemon in daemons]
+        timeout = 60 + balancers
+        while not all(known_peers(daemon) == balancers - 1 for daemon in daemons):
+            if time.monotonic() - begin > timeout:
+                raise TimeoutError(
+                    f"the daemons know {[known_peers(daemon) for daemon in daemons]} of {balancers - 1} peers"
+                )
+            run_loop(loop, 1.0)
+        met_seconds = time.monotonic() - begin
+        run_loop(loop, 10.0)
+        for member in simulated:
+            member.tally.take()
+        cpu_before, simulated_cpu, measured_from = (
+            [daemon.cpu_seconds() for daemon in daemons],
+            time.process_time(),
+            time.monotonic(),
+        )
+        run_loop(loop, MEASURED_SECONDS)
+        span = time.monotonic() - measured_from
+        simulated_cpu = time.process_time() - simulated_cpu
+        cores = [
+            (daemon.cpu_seconds() - before) / span for daemon, before in zip(daemons, cpu_before, strict=True)
+        ]
+        memory = [
+            daemon.resident_bytes() - before for daemon, before in zip(daemons, memory_before, strict=True)
+        ]
+    for member in simulated:
         member.sock.close()
     loop.selector.close()
-    count = sum(member.tally.count.total() for member in members)
-    size = sum(member.tally.bytes.total() for member in members)
-    part = (balancers - 1) / (balancers - real)  # what goes to the other daemons is not seen
+    count = sum(member.tally.count.total() for member in simulated)
+    size = sum(member.tally.bytes.total() for member in simulated)
+    # Only the simulated peers count messages: scales up for those between the daemons.
+    factor = (balancers - 1) / (balancers - real)
     return {
-        "met": f"{met:.0f}", "messages": f"{count * part / real / span:.3f}",
-        "bytes": f"{size * part / real / span:.1f}",
+        "met": f"{met_seconds:.0f}", "messages": f"{count * factor / real / span:.3f}",
+        "bytes": f"{size * factor / real / span:.1f}",
         "core": f"{sum(cores) / real:.5f}", "core_most": f"{max(cores):.5f}",
-        "core_hollow": f"{own / len(members) / span:.5f}", "memory": f"{sum(more) / real:.0f}",
+        "core_hollow": f"{simulated_cpu / len(simulated) / span:.5f}", "memory": f"{sum(memory) / real:.0f}",
     }  # fmt: skip
 
 
-def here(daemon: Daemon) -> int:
-    """How many peers its log last told to be here."""
+def known_peers(daemon: Daemon) -> int:
+    """The number of peers that are here according to the last such line of the daemon's log."""
     for entry in reversed(daemon.events("peers")):
         if entry["text"].startswith("peers: "):
             return int(entry["text"].split()[1])
     return 0
 
 
-def turn(loop: Loop, seconds: float) -> None:
+def run_loop(loop: Loop, seconds: float) -> None:
     end = loop.now() + int(seconds * SECOND)
-    due = loop.after(int(seconds * SECOND), lambda: None)
+    timer = loop.after(int(seconds * SECOND), lambda: None)
     while loop.now() < end:
         loop.turn()
-    due.cancel()
+    timer.cancel()
 
 
-def fail(fault: BaseException) -> None:
-    raise fault
+def raise_fault(error: BaseException) -> None:
+    raise error
--- a/thymedeck/lab/scale/process.py
+++ b/thymedeck/lab/scale/process.py
@@ -1,4 +1,4 @@
-"""Processes of a sweep: what the kernel counts of one, and workers that are told what to do."""
+"""Processes of a sweep: kernel counters of a process, and worker processes that carry out orders."""
 
 import multiprocessing
 import os
@@ -9,25 +9,24 @@
 from types import TracebackType
 from typing import Any
 
-PATIENCE = 900.0  # seconds that a worker may take for an order
+ORDER_TIMEOUT = 900.0  # seconds that a worker may take for an order
 
 
-def cpu(pid: int) -> float:
-    """Seconds of processor time that a process has used, by the kernel's count in nanoseconds."""
+def cpu_seconds(pid: int) -> float:
+    """Processor time that a process has used so far, from the kernel's counter in nanoseconds."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def memory(pid: int) -> int:
-    """Bytes resident now."""
+def resident_bytes(pid: int) -> int:
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def descriptors(pid: int) -> int:
+def open_descriptors(pid: int) -> int:
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
-def unbound() -> None:
-    """As many descriptors as the system grants; of memory half of the machine's, for each that is started."""
+def set_resource_limits() -> None:
+    """Raises the limit of descriptors to the hard limit; limits data to half the machine's memory."""
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     half = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") // 2
@@ -35,25 +34,27 @@
 
 
 class Worker:
-    """A process that runs `main(pipe, *given)`: it gets orders as tuples and answers each."""
+    """A process that runs `main(pipe, *arguments)`; it receives orders as tuples and answers each."""
 
-    def __init__(self, main: Callable[..., None], *given: object) -> None:
+    def __init__(self, main: Callable[..., None], *arguments: object) -> None:
         context = multiprocessing.get_context("spawn")
-        self.pipe, there = context.Pipe()
-        self.process = context.Process(target=main, args=(there, *given), daemon=True)
+        self.pipe, worker_pipe = context.Pipe()
+        self.process = context.Process(target=main, args=(worker_pipe, *arguments), daemon=True)
         self.process.start()
-        there.close()
+        worker_pipe.close()
 
     def tell(self, *order: object) -> None:
+        """Sends an order; its answer has to be taken with `answer`."""
         self.pipe.send(order)
 
-    def answer(self) -> Any:  # noqa: ANN401 (each order has its own)
-        """Raises EOFError where the worker has ended, TimeoutError where it is silent."""
-        if not self.pipe.poll(PATIENCE):
-            raise TimeoutError("a worker does not answer")
+    def answer(self) -> Any:  # noqa: ANN401 (the type depends on the order)
+        """Raises EOFError if the worker has ended, TimeoutError if it does not answer in time."""
+        if not self.pipe.poll(ORDER_TIMEOUT):
+            raise TimeoutError("the worker process does not answer")
         return self.pipe.recv()
 
     def ask(self, *order: object) -> Any:  # noqa: ANN401
+        """Sends an order and returns its answer."""
         self.tell(*order)
         return self.answer()
 
@@ -66,23 +67,23 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, why: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.close()
 
 
-def apart(measure: Callable[..., dict], **given: object) -> dict:
-    """Runs it in a process of its own, so that memory is counted from nothing."""
-    with Worker(run_apart, measure, given) as worker:
-        found = worker.answer()
-    if isinstance(found, BaseException):
-        raise found
-    return found
+def run_in_subprocess(measure: Callable[..., dict], **arguments: object) -> dict:
+    """Runs a measurement in a new process, so that its memory is not mixed with that of earlier ones."""
+    with Worker(run_measurement, measure, arguments) as worker:
+        result = worker.answer()
+    if isinstance(result, BaseException):
+        raise result
+    return result
 
 
-def run_apart(pipe: Connection, measure: Callable[..., dict], given: dict) -> None:
-    unbound()
+def run_measurement(pipe: Connection, measure: Callable[..., dict], arguments: dict) -> None:
+    set_resource_limits()
     try:
-        pipe.send(measure(**given))
-    except Exception as why:
-        pipe.send(why)
+        pipe.send(measure(**arguments))
+    except Exception as error:
+        pipe.send(error)
--- a/thymedeck/lab/scale/rows.py
+++ b/thymedeck/lab/scale/rows.py
@@ -1,4 +1,4 @@
-"""Rows of a sweep, kept as CSV: each is written once it is measured, and not measured again unless asked."""
+"""Rows of a sweep, kept as CSV: each is appended once it is measured, and only measured again on request."""
 
 import csv
 import os
@@ -6,11 +6,11 @@
 from pathlib import Path
 
 Row = dict[str, object]
-NEVER = -1.0  # where a figure says how long something took
+NOT_OCCURRED = -1.0  # value of a duration whose event did not occur
 
 
-class Sheet:
-    """One CSV file. `keys` are the columns that name a row; the newest row of a name counts."""
+class CsvTable:
+    """One CSV file. `keys` are the columns that identify a row; of rows with equal keys the last counts."""
 
     def __init__(self, path: Path, keys: tuple[str, ...]) -> None:
         self.path = path
@@ -19,22 +19,22 @@
         if path.exists():
             with path.open(newline="") as file:
                 for row in csv.DictReader(file):
-                    self.rows[self.name_of(row)] = row
+                    self.rows[self.key_of(row)] = row
 
-    def name_of(self, row: Row) -> tuple[str, ...]:
+    def key_of(self, row: Row) -> tuple[str, ...]:
         return tuple(str(row[key]) for key in self.keys)
 
     def add(self, row: Row) -> None:
-        """Raises ValueError where the file has other columns: its rows were measured by another sweep."""
+        """Raises ValueError if the file has other columns, which means another sweep measured its rows."""
         columns = self.columns()
         if columns and columns != list(row):
             raise ValueError(f"{self.path}: has columns {columns}, not {list(row)}")
-        self.rows[self.name_of(row)] = {key: str(value) for key, value in row.items()}
+        self.rows[self.key_of(row)] = {key: str(value) for key, value in row.items()}
         with self.path.open("a", newline="") as file:
-            out = csv.writer(file, lineterminator="\n")
+            writer = csv.writer(file, lineterminator="\n")
             if not columns:
-                out.writerow(row)
-            out.writerow(row.values())
+                writer.writerow(row)
+            writer.writerow(row.values())
 
     def columns(self) -> list[str]:
         if not self.path.exists():
@@ -42,24 +42,29 @@
         with self.path.open(newline="") as file:
             return next(csv.reader(file), [])
 
-    def sweep(self, names: list[Row], again: bool, measure: Callable[..., Row], say: Callable) -> int:
-        """Measures the rows that are missing, one after the other; returns how many it measured."""
-        done = 0
-        for name in names:
-            if not again and self.name_of(name) in self.rows:
+    def measure_missing(
+        self, row_keys: list[Row], again: bool, measure: Callable[..., Row], report: Callable
+    ) -> int:
+        """Measures the missing rows, with `again` all rows; returns the number of rows measured.
+
+        `measure` takes the key columns as keyword arguments. `load` is the load average of the machine.
+        """
+        measured = 0
+        for row_key in row_keys:
+            if not again and self.key_of(row_key) in self.rows:
                 continue
-            row = name | measure(**name) | {"load": f"{os.getloadavg()[0]:.1f}"}
+            row = row_key | measure(**row_key) | {"load": f"{os.getloadavg()[0]:.1f}"}
             self.add(row)
-            done += 1
-            say(f"{self.path.name}: " + ", ".join(f"{key} {value}" for key, value in row.items()))
-        return done
+            measured += 1
+            report(f"{self.path.name}: " + ", ".join(f"{key} {value}" for key, value in row.items()))
+        return measured
 
-    def figures(self, x: str, y: str, **only: object) -> list[tuple[float, float]]:
-        """Of the rows in which both were measured, y came about, and all of `only` hold."""
+    def points(self, x: str, y: str, **only: object) -> list[tuple[float, float]]:
+        """Values of two columns, of the rows that have both, whose event occurred and that match `only`."""
         found = []
         for row in self.rows.values():
-            given = row.get(x, ""), row.get(y, "")
-            meant = all(row.get(key) == str(value) for key, value in only.items())
-            if meant and all(given) and float(given[1]) != NEVER:
-                found.append((float(given[0]), float(given[1])))
+            values = row.get(x, ""), row.get(y, "")
+            is_selected = all(row.get(key) == str(value) for key, value in only.items())
+            if is_selected and all(values) and float(values[1]) != NOT_OCCURRED:
+                found.append((float(values[0]), float(values[1])))
         return sorted(found)
--- a/thymedeck/lab/scale/sessions.py
+++ b/thymedeck/lab/scale/sessions.py
@@ -1,7 +1,8 @@
-"""Standing sessions on one real daemon: memory, descriptors and processor time by what they do.
+"""Sessions on one real daemon: its memory, descriptors and processor time by load.
 
-Left out: a list service that answers (the daemon goes on with the list it was told), peers, other machines.
-Servers and clients are stand-ins on loopback in two processes beside it.
+Left out: a list service that answers (the daemon keeps the list of its file), peers, other machines. Servers
+and clients are stand-ins on loopback in two other processes. Parameters of the `measure_*` functions and keys
+of their results are columns of CSV files.
 """
 
 import contextlib
@@ -9,180 +10,206 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from .crowd import run_clients, run_servers
-from .daemon import Daemon, row_of
+from .daemon import Daemon, server_entry
+from .endpoints import run_clients, run_servers
 from .process import Worker
 
 SERVERS = 20
-CALM = 4.0  # seconds that each state of rest is watched
-OPEN_RATE = 800  # a second
-LINE = 100  # bytes of one that is delivered
-PACED = 4000  # deliveries a second that their cost is taken from
-PLACED = 300
+IDLE_SECONDS = 4.0  # for which each idle state is measured
+OPEN_RATE = 800  # per second
+LINE_SIZE = 100  # bytes of a delivered line
+PACED_RATE = 4000  # deliveries per second at which their cost is measured
+PLACED = 300  # set-ups
 CHURNED, ROUNDS = 1000, 20
-OWN_LINES, DELIVERIES = 29_762, 20_238  # a second, of 25 million sessions and 8.5 million on 420
-WHOLE_FOR = 5.0
-TRIES = 10  # openings, on a machine that is busy with else
+# Lines per second of one balancer at the target: those of 25 million sessions and 8.5 million deliveries a
+# second over 420 balancers.
+CLIENT_LINES, DELIVERIES = 29_762, 20_238
+WHOLE_LOAD_SECONDS = 5.0
+MAX_ATTEMPTS = 10  # at opening the sessions, on a machine that is busy with other work
 
 
 @contextlib.contextmanager
-def rig(listed: int = SERVERS) -> Iterator[tuple[Daemon, Worker, Worker]]:
-    """A daemon with servers and clients beside it; of more than SERVERS listed, several have one address."""
-    with Worker(run_servers) as behind:
-        ports = behind.ask("open", SERVERS)
+def daemon_with_load(listed: int = SERVERS) -> Iterator[tuple[Daemon, Worker, Worker]]:
+    """A daemon, its servers and its clients; if more than SERVERS are listed, several share an address."""
+    with Worker(run_servers) as servers:
+        ports = servers.ask("open", SERVERS)
         with (
-            Daemon([row_of(f"s{at}", ports[at % SERVERS]) for at in range(listed)]) as daemon,
-            Worker(run_clients, daemon.port) as front,
+            Daemon([server_entry(f"s{index}", ports[index % SERVERS]) for index in range(listed)]) as daemon,
+            Worker(run_clients, daemon.port) as clients,
         ):
-            yield daemon, behind, front
+            yield daemon, servers, clients
 
 
-def fill(daemon: Daemon, front: Worker, count: int) -> dict:
-    """So many more sessions stand; who is refused comes again. Raises ValueError where some never do."""
-    before = daemon.cpu()
+def open_sessions(daemon: Daemon, clients: Worker, count: int) -> dict:
+    """Opens so many more sessions and retries refused ones; raises ValueError if some are never opened."""
+    before = daemon.cpu_seconds()
     answers = Counter()
-    for _ in range(TRIES):
-        came = Counter(front.ask("open", count - answers["UP"], OPEN_RATE))
-        median, _ = came.pop("median"), came.pop("took")
-        answers += came
+    for _ in range(MAX_ATTEMPTS):
+        attempt = Counter(clients.ask("open", count - answers["UP"], OPEN_RATE))
+        median, _ = attempt.pop("median"), attempt.pop("took")
+        answers += attempt
         if answers["UP"] == count:
-            return {"cpu": daemon.cpu() - before, "median": median, "refused": answers["BUSY"]}
-    raise ValueError(f"of {count} sessions: {answers}")
+            return {"cpu": daemon.cpu_seconds() - before, "median": median, "refused": answers["BUSY"]}
+    raise ValueError(f"not all of {count} sessions were opened; answers: {answers}")
 
 
-def standing(sessions: int, repeat: int, calm: float = CALM) -> dict:
-    """One daemon through all that its sessions may do; `_us` is processor time of the daemon alone.
+def measure_sessions(sessions: int, repeat: int, idle_seconds: float = IDLE_SECONDS) -> dict:
+    """One daemon in each state of its sessions; `_us` is processor time of the daemon alone.
 
-    `calm`: seconds that each state is watched.
+    `idle_seconds`: how long each state is measured.
     """
-    with rig() as (daemon, behind, front):
-        bare, fds, empty = daemon.memory(), daemon.descriptors(), daemon.rate(calm)
-        opened = fill(daemon, front, sessions)
-        new = daemon.memory()
-        held = daemon.descriptors()
-        silent = daemon.rate(calm)
-        before, begin = daemon.cpu(), time.monotonic()
-        said, back = front.ask("beat", calm)
-        beating = daemon.cpu() - before - silent * (time.monotonic() - begin)
-        used = daemon.memory()
-        paced = cost_of_deliveries(daemon, behind, front, silent, calm)
-        spread = cost_of_fan_out(daemon, behind, front, silent)
-        again = min(sessions, 1000)
-        before, begin = daemon.cpu(), time.monotonic()
-        front.ask("leave", again)
+    with daemon_with_load() as (daemon, servers, clients):
+        bare, bare_fds, empty = (
+            daemon.resident_bytes(),
+            daemon.open_descriptors(),
+            daemon.core_usage(idle_seconds),
+        )
+        opened = open_sessions(daemon, clients, sessions)
+        new = daemon.resident_bytes()
+        fds = daemon.open_descriptors()
+        silent = daemon.core_usage(idle_seconds)
+        before, begin = daemon.cpu_seconds(), time.monotonic()
+        lines_sent, lines_back = clients.ask("send_lines", idle_seconds)
+        lines_cpu = daemon.cpu_seconds() - before - silent * (time.monotonic() - begin)
+        used = daemon.resident_bytes()
+        deliveries = cost_of_deliveries(daemon, servers, clients, silent, idle_seconds)
+        fan_out = cost_of_fan_out(daemon, servers, clients, silent)
+        replaced = min(sessions, 1000)
+        before, begin = daemon.cpu_seconds(), time.monotonic()
+        clients.ask("leave", replaced)
         time.sleep(0.5)
-        ended = daemon.cpu() - before - silent * (time.monotonic() - begin)
-        refilled = fill(daemon, front, again)
-        top = daemon.memory()
-        early, _ = front.ask("told")
-        stopping, took = daemon.stop()
-        moved, cut = front.ask("told", True)
+        ending_cpu = daemon.cpu_seconds() - before - silent * (time.monotonic() - begin)
+        reopened = open_sessions(daemon, clients, replaced)
+        top = daemon.resident_bytes()
+        moved_early, _ = clients.ask("count_ended")
+        stopping_cpu, stopping_seconds = daemon.stop()
+        moved, cut_off = clients.ask("count_ended", True)
     return {
         "memory_bare": bare, "memory_new": new, "memory_used": used, "memory_again": top,
-        "fds_bare": fds, "fds": held,
+        "fds_bare": bare_fds, "fds": fds,
         "core_empty": f"{empty:.5f}", "core_silent": f"{silent:.5f}",
-        "set_up_us": us(opened["cpu"], sessions + opened["refused"]), "refused": opened["refused"],
+        "set_up_us": microseconds_each(opened["cpu"], sessions + opened["refused"]),
+        "refused": opened["refused"],
         "set_up_median_ms": f"{opened['median'] * 1e3:.2f}",
-        "lines": said, "lines_back": back, "own_line_us": us(beating, said),
-        "core_at_rest": f"{silent + sessions / 2 * beating / max(said, 1):.5f}",
-        "delivered": paced[0], "delivery_us": us(paced[1], paced[0]),
-        "fan_out_us": us(spread[1], spread[0]), "fan_out_last_ms": f"{spread[2] * 1e3:.1f}",
-        "end_us": us(ended, again), "set_up_again_us": us(refilled["cpu"], again + refilled["refused"]),
-        "stop_us": us(stopping, sessions), "stop_s": f"{took:.2f}",
-        "moved_early": early, "moved": moved, "cut_off": cut,
+        "lines": lines_sent, "lines_back": lines_back,
+        "own_line_us": microseconds_each(lines_cpu, lines_sent),
+        "core_at_rest": f"{silent + sessions / 2 * lines_cpu / max(lines_sent, 1):.5f}",
+        "delivered": deliveries[0], "delivery_us": microseconds_each(deliveries[1], deliveries[0]),
+        "fan_out_us": microseconds_each(fan_out[1], fan_out[0]), "fan_out_last_ms": f"{fan_out[2] * 1e3:.1f}",
+        "end_us": microseconds_each(ending_cpu, replaced),
+        "set_up_again_us": microseconds_each(reopened["cpu"], replaced + reopened["refused"]),
+        "stop_us": microseconds_each(stopping_cpu, sessions), "stop_s": f"{stopping_seconds:.2f}",
+        "moved_early": moved_early, "moved": moved, "cut_off": cut_off,
     }  # fmt: skip
 
 
-def placing(listed: int, repeat: int) -> dict:
-    """Set-ups where so many servers are listed: what a pick among them adds on a real daemon."""
-    with rig(listed) as (daemon, _, front):
-        rest = daemon.rate(2.0)
-        before, begin = daemon.cpu(), time.monotonic()
-        answers = front.ask("open", PLACED, OPEN_RATE)
-        spent = daemon.cpu() - before - rest * (time.monotonic() - begin)
+def measure_placing(listed: int, repeat: int) -> dict:
+    """Set-ups with so many servers listed: the cost of choosing a server on a real daemon."""
+    with daemon_with_load(listed) as (daemon, _, clients):
+        idle = daemon.core_usage(2.0)
+        before, begin = daemon.cpu_seconds(), time.monotonic()
+        answers = clients.ask("open", PLACED, OPEN_RATE)
+        cpu = daemon.cpu_seconds() - before - idle * (time.monotonic() - begin)
     return {
-        "up": answers.get("UP", 0), "refused": PLACED - answers.get("UP", 0), "asked_us": us(spent, PLACED),
+        "up": answers.get("UP", 0), "refused": PLACED - answers.get("UP", 0),
+        "asked_us": microseconds_each(cpu, PLACED),
         "took_s": f"{answers['took']:.2f}", "median_ms": f"{answers['median'] * 1e3:.2f}",
-        "core_at_rest": f"{rest:.5f}",
+        "core_at_rest": f"{idle:.5f}",
     }  # fmt: skip
 
 
-def churn(sessions: int, repeat: int) -> dict:
-    """Beside so many that stand, CHURNED come and go, ROUNDS times: what memory grows to."""
-    with rig() as (daemon, _, front):
-        fill(daemon, front, sessions)
-        held = [daemon.memory()]
+def measure_churn(sessions: int, repeat: int) -> dict:
+    """Memory growth while CHURNED sessions open and close, ROUNDS times, beside so many that stay open."""
+    with daemon_with_load() as (daemon, _, clients):
+        open_sessions(daemon, clients, sessions)
+        memory = [daemon.resident_bytes()]
         for _ in range(ROUNDS):
-            fill(daemon, front, CHURNED)
-            held.append(daemon.memory())
-            front.ask("leave", CHURNED)
+            open_sessions(daemon, clients, CHURNED)
+            memory.append(daemon.resident_bytes())
+            clients.ask("leave", CHURNED)
             time.sleep(0.5)
-    return {"memory": held[0], "memory_first": held[1], "memory_most": max(held), "memory_last": held[-1]}
-
-
-def whole(percent: int, sessions: int, repeat: int) -> dict:
-    """So much of the lines that one balancer has at the target, both kinds at once, over fewer sessions."""
-    own, delivered = OWN_LINES * percent // 100, DELIVERIES * percent // 100
-    with rig() as (daemon, behind, front):
-        fill(daemon, front, sessions)
-        before, begin = daemon.cpu(), time.monotonic()
-        behind.tell("deliver", delivered, WHOLE_FOR, LINE)
-        front.tell("beat", WHOLE_FOR, sessions / own)
-        sent, took = behind.answer()
-        span = time.monotonic() - begin
-        used = daemon.cpu() - before
-        said, back = front.answer()
-        came, delays = front.ask("heard", sent)
-        spent, all_span = daemon.cpu() - before, time.monotonic() - begin
     return {
-        "sent": sent, "came": came, "said": said, "back": back,
-        "lines_a_second": f"{(sent + 2 * said) / took:.0f}",
-        "core": f"{used / span:.4f}", "line_us": us(spent, came + said + back), "span_s": f"{all_span:.2f}",
+        "memory": memory[0],
+        "memory_first": memory[1],
+        "memory_most": max(memory),
+        "memory_last": memory[-1],
+    }
+
+
+def measure_whole_load(percent: int, sessions: int, repeat: int) -> dict:
+    """Client lines and deliveries together, at a percentage of one balancer's rates at the target.
+
+    Fewer sessions than at the target carry them.
+    """
+    client_rate, delivery_rate = CLIENT_LINES * percent // 100, DELIVERIES * percent // 100
+    with daemon_with_load() as (daemon, servers, clients):
+        open_sessions(daemon, clients, sessions)
+        before, begin = daemon.cpu_seconds(), time.monotonic()
+        servers.tell("deliver", delivery_rate, WHOLE_LOAD_SECONDS, LINE_SIZE)
+        clients.tell("send_lines", WHOLE_LOAD_SECONDS, sessions / client_rate)
+        deliveries_sent, seconds = servers.answer()
+        load_span = time.monotonic() - begin
+        load_cpu = daemon.cpu_seconds() - before
+        lines_sent, lines_back = clients.answer()
+        delivered, delays = clients.ask("take_deliveries", deliveries_sent)
+        total_cpu, total_span = daemon.cpu_seconds() - before, time.monotonic() - begin
+    return {
+        "sent": deliveries_sent, "came": delivered, "said": lines_sent, "back": lines_back,
+        "lines_a_second": f"{(deliveries_sent + 2 * lines_sent) / seconds:.0f}",
+        "core": f"{load_cpu / load_span:.4f}",
+        "line_us": microseconds_each(total_cpu, delivered + lines_sent + lines_back),
+        "span_s": f"{total_span:.2f}",
         "p50_ms": f"{quantile(delays, 0.5) * 1e3:.2f}", "p99_ms": f"{quantile(delays, 0.99) * 1e3:.2f}",
     }  # fmt: skip
 
 
-def us(seconds: float, count: int) -> str:
+def microseconds_each(seconds: float, count: int) -> str:
     return f"{seconds * 1e6 / max(count, 1):.2f}"
 
 
 def cost_of_deliveries(
-    daemon: Daemon, behind: Worker, front: Worker, silent: float, span: float
+    daemon: Daemon, servers: Worker, clients: Worker, silent: float, seconds: float
 ) -> tuple[int, float]:
-    """How many came at the clients, and the daemon's seconds for them alone."""
-    before, begin = daemon.cpu(), time.monotonic()
-    sent, _ = behind.ask("deliver", PACED, span, LINE)
-    came, _ = front.ask("heard", sent)
-    return came, daemon.cpu() - before - silent * (time.monotonic() - begin)
-
-
-def cost_of_fan_out(daemon: Daemon, behind: Worker, front: Worker, silent: float) -> tuple[int, float, float]:
-    """One line to each at once: how many came, the daemon's seconds, and the delay of the last."""
-    before, begin = daemon.cpu(), time.monotonic()
-    sent, _ = behind.ask("fan_out", LINE)
-    came, delays = front.ask("heard", sent)
-    return came, daemon.cpu() - before - silent * (time.monotonic() - begin), max(delays, default=0.0)
-
-
-def deliveries(sessions: int, rate: int, size: int, repeat: int) -> dict:
-    """Paced deliveries over so many sessions: what came, how late, at what processor time."""
-    with rig() as (daemon, behind, front):
-        fill(daemon, front, sessions)
-        silent = daemon.rate(2.0)
-        before, begin = daemon.cpu(), time.monotonic()
-        sent, took = behind.ask("deliver", rate, 4.0, size)
-        span = time.monotonic() - begin
-        used = daemon.cpu() - before
-        came, delays = front.ask("heard", sent)
-        spent = daemon.cpu() - before - silent * (time.monotonic() - begin)
+    """How many deliveries reached the clients, and the daemon's processor seconds for them alone."""
+    before, begin = daemon.cpu_seconds(), time.monotonic()
+    sent, _ = servers.ask("deliver", PACED_RATE, seconds, LINE_SIZE)
+    delivered, _ = clients.ask("take_deliveries", sent)
+    return delivered, daemon.cpu_seconds() - before - silent * (time.monotonic() - begin)
+
+
+def cost_of_fan_out(
+    daemon: Daemon, servers: Worker, clients: Worker, silent: float
+) -> tuple[int, float, float]:
+    """One line to each session at once: how many arrived, the daemon's seconds, and the longest delay."""
+    before, begin = daemon.cpu_seconds(), time.monotonic()
+    sent, _ = servers.ask("fan_out", LINE_SIZE)
+    delivered, delays = clients.ask("take_deliveries", sent)
+    return (
+        delivered,
+        daemon.cpu_seconds() - before - silent * (time.monotonic() - begin),
+        max(delays, default=0.0),
+    )
+
+
+def measure_deliveries(sessions: int, rate: int, size: int, repeat: int) -> dict:
+    """Deliveries at a constant rate over so many sessions: how many arrived, their delays, processor time."""
+    with daemon_with_load() as (daemon, servers, clients):
+        open_sessions(daemon, clients, sessions)
+        silent = daemon.core_usage(2.0)
+        before, begin = daemon.cpu_seconds(), time.monotonic()
+        sent, seconds = servers.ask("deliver", rate, 4.0, size)
+        load_span = time.monotonic() - begin
+        load_cpu = daemon.cpu_seconds() - before
+        delivered, delays = clients.ask("take_deliveries", sent)
+        cpu = daemon.cpu_seconds() - before - silent * (time.monotonic() - begin)
     return {
-        "sent": sent, "sent_a_second": f"{sent / took:.0f}", "came": came,
-        "core": f"{used / span:.4f}", "line_us": us(spent, came),
+        "sent": sent, "sent_a_second": f"{sent / seconds:.0f}", "came": delivered,
+        "core": f"{load_cpu / load_span:.4f}", "line_us": microseconds_each(cpu, delivered),
         "p50_ms": f"{quantile(delays, 0.5) * 1e3:.2f}", "p99_ms": f"{quantile(delays, 0.99) * 1e3:.2f}",
         "last_ms": f"{quantile(delays, 1.0) * 1e3:.2f}",
     }  # fmt: skip
 
 
-def quantile(found: list[float], part: float) -> float:
-    """Of what is sorted; 0 of nothing."""
-    return found[min(int(part * len(found)), len(found) - 1)] if found else 0.0
+def quantile(values: list[float], fraction: float) -> float:
+    """A quantile of sorted values; 0 if there are none."""
+    return values[min(int(fraction * len(values)), len(values) - 1)] if values else 0.0
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -30,9 +30,9 @@
 from ..peers.stated import read as read_peers
 from ..peers.words import Came, Event, Send, Tick
 from .faults import Faults
+from .membership import peer_settings
 from .records import Record
 from .standins import ClientGroup, ListedServer, ListeningSocket, ListService, Server
-from .talk import stated
 from .world import Machine, World
 
 SECOND = 10_000
@@ -176,7 +176,7 @@
         here = (self.host(name), 7946)
         join = tuple(f"{self.host(f'b{at}')}:7946" for at in range(3))
         own = {"listen": here, "advertise": spelt(here), "keys": (bytes.fromhex(KEY),)}
-        return stated(0, join, **(self.peers | own))
+        return peer_settings(0, join, **(self.peers | own))
 
     def start(self, name: str) -> None:
         machine = self.machines[name] = Machine(self.world, self.host(name))
