--- a/thymedeck/lab/scale/fits.py
+++ b/thymedeck/lab/scale/fits.py
@@ -49,7 +49,7 @@
 class Series(Struct, frozen=True):
     """What is fitted: column `y` by column `x` of a table, of the rows that match `only`."""
 
-    sheet: str  # name of the CSV file
+    table: str  # name of the CSV file
     x: str
     y: str
     unit: str
@@ -64,16 +64,16 @@
     """Lines of a Markdown table with one fit in each row."""
     rows = ["| " + " | ".join(COLUMNS) + " |", "| --- " * len(COLUMNS) + "|"]
     for one in series:
-        points = tables[one.sheet].points(one.x, one.y, **one.only)
+        points = tables[one.table].points(one.x, one.y, **one.only)
         points = [(x, y * one.scale) for x, y in points]
         name = one.y + "".join(f", {key} {value}" for key, value in one.only.items())
         try:
             fit = fit_line(points)
         except ValueError:
-            cells = [one.sheet, one.x, name, one.unit, "not measured", str(len(points)), *["-"] * 5]
+            cells = [one.table, one.x, name, one.unit, "not measured", str(len(points)), *["-"] * 5]
         else:
             cells = [
-                one.sheet, one.x, name, one.unit, f"{fit.x_min:g} to {fit.x_max:g}", str(fit.points),
+                one.table, one.x, name, one.unit, f"{fit.x_min:g} to {fit.x_max:g}", str(fit.points),
                 f"{fit.slope:.4g}", f"{fit.intercept:.4g}", f"{fit.r2:.3f}", f"{fit.spread:.2f}",
                 f"{fit.power:.2f}",
             ]  # fmt: skip
--- a/thymedeck/lab/scale/report.py
+++ b/thymedeck/lab/scale/report.py
@@ -56,16 +56,16 @@
     Series("picks", "servers", "pick_us", "us"),
     Series("picks", "servers", "memory", "kB", scale=1e-3),
 )
-DEFAULT_LIMIT = {"send_most": 2000}
+DEFAULT_SEND_LIMIT = {"send_most": 2000}  # bytes per second that a peer may send by default
 BY_BALANCERS = (
     *(
-        Series("control", "balancers", y, unit, DEFAULT_LIMIT)
+        Series("control", "balancers", y, unit, DEFAULT_SEND_LIMIT)
         for y, unit in (
             ("messages", "a second"), ("bytes", "B/s"), ("core", "of a core"), ("memory_a_peer", "B"),
             ("oldest", "s"), ("death_half", "s"), ("death_99", "s"), ("death_all", "s"),
         )
     ),
-    Series("control", "balancers", "memory", "kB", DEFAULT_LIMIT, 1e-3),
+    Series("control", "balancers", "memory", "kB", DEFAULT_SEND_LIMIT, 1e-3),
     *(Series("meeting", "balancers", y, unit) for y, unit in (("met", "s"), ("bytes_a_pair", "B"))),
     *(Series("regions", "balancers", "healed", "s", {"cut": cut}) for cut in (30, 700)),
     *(Series("regions", "balancers", y, "s", {"cut": 700}) for y in ("known_half", "known_99", "known_all")),
@@ -98,4 +98,4 @@
     head = "Made by `python -m thymedeck.lab scale fits` of the CSV files beside it. `power`: see fits.py.\n"
     (folder / "fits.md").write_text("\n".join([head, *format_table(tables, ALL_SERIES)]) + "\n")
     for name, (title, series) in CHARTS.items():
-        draw_chart(folder / f"{name}.svg", title, tables[series[0].sheet], list(series), TARGET[series[0].x])
+        draw_chart(folder / f"{name}.svg", title, tables[series[0].table], list(series), TARGET[series[0].x])
--- a/thymedeck/lab/scale/sessions.py
+++ b/thymedeck/lab/scale/sessions.py
@@ -21,8 +21,8 @@
 PACED_RATE = 4000  # deliveries per second at which their cost is measured
 PLACED = 300  # set-ups
 CHURNED, ROUNDS = 1000, 20
-# Lines per second of one balancer at the target: those of 25 million sessions and 8.5 million deliveries a
-# second over 420 balancers.
+# Lines per second of one balancer at the target: 25 million sessions with a line each two seconds, and 8.5
+# million deliveries per second, over 420 balancers.
 CLIENT_LINES, DELIVERIES = 29_762, 20_238
 WHOLE_LOAD_SECONDS = 5.0
 MAX_ATTEMPTS = 10  # at opening the sessions, on a machine that is busy with other work
