--- a/tests/list_calls.py
+++ b/tests/list_calls.py
@@ -15,7 +15,7 @@
 
 from thymedeck.lab.play import deployment_settings
 from thymedeck.lab.stage import SECOND, VirtualTestbed
-from thymedeck.lab.standins import Listed
+from thymedeck.lab.standins import ListedServer
 
 LONGEST = 70 * SECOND
 
@@ -34,8 +34,8 @@
     told["contract"]["ask_within_us"] = int(ask_within * 1e6)
     stage = VirtualTestbed(seed, told)
     stage.add_server("s0")
-    stage.list_service.set(Listed("s0"))
-    stage.known_servers = [Listed("s0")]
+    stage.list_service.update_servers(ListedServer("s0"))
+    stage.known_servers = [ListedServer("s0")]
     for at in range(balancers):
         stage.start(f"b{at}")
     stage.list_service.capacity, stage.list_service.refusal_cost = capacity, refusal_cost
@@ -56,15 +56,15 @@
 
 def reset(stage: VirtualTestbed) -> None:
     """All watches are reset at once, the service goes on."""
-    watching(stage).list_service.fall()
-    stage.list_service.down = False
+    watching(stage).list_service.take_down()
+    stage.list_service.is_down = False
 
 
 def down(stage: VirtualTestbed) -> None:
     """The service resets whatever comes for eight seconds."""
-    watching(stage).list_service.fall()
+    watching(stage).list_service.take_down()
     stage.run(8 * SECOND)
-    stage.list_service.down = False
+    stage.list_service.is_down = False
 
 
 def silent(stage: VirtualTestbed) -> None:
@@ -79,7 +79,7 @@
     down(stage)
     for name in stage.services:
         address = ("10.2.0.1", 20_000 + int(name[1:]))
-        stage.list_service.open_for(name, address)
+        stage.list_service.listen_for(name, address)
         stage.services[name].follower.turn_to(address)
 
 
@@ -89,7 +89,7 @@
 def play(stage: VirtualTestbed, trouble: Callable[[VirtualTestbed], None]) -> Seen:
     trouble(stage)
     t0 = stage.now()
-    stage.list_service.change("s0", weight=2.0)
+    stage.list_service.change_server("s0", weight=2.0)
     wanted = stage.list_service.version
     had: dict[str, int] = {}
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -130,36 +130,38 @@
 
 
 VIOLATIONS = {
-    "no answer": (checks.one_answer, [REQUEST | {"at": 0}], {"end": 10**6}),
+    "no answer": (checks.check_answers, [REQUEST | {"at": 0}], {"end": 10**6}),
     "a late answer": (
-        checks.one_answer, [REQUEST | {"at": 0}, event(5000, "client answer", word="UP")], {"end": 10**6},
+        checks.check_answers, [REQUEST | {"at": 0}, event(5000, "client answer", word="UP")], {"end": 10**6},
     ),
     "two answers": (
-        checks.one_answer, [REQUEST | {"at": 0}] + 2 * [event(5, "client answer", word="UP")], {"end": 10**6},
+        checks.check_answers,
+        [REQUEST | {"at": 0}] + 2 * [event(5, "client answer", word="UP")],
+        {"end": 10**6},
     ),
     "more after a refusal": (
-        checks.one_answer,
+        checks.check_answers,
         [REQUEST | {"at": 0}, event(5, "client answer", word="BUSY"), event(6, "client more", line="UP")],
         {"end": 10**6},
     ),
     "once-only at two servers": (
-        checks.no_effect_twice,
+        checks.check_effects,
         [REQUEST | {"at": 0}, event(1, "server line"), event(2, "server answer", answer="lost"),
          event(3, "server end"), event(4, "server line", server="s1")],
         {"effects": {"once": "once"}},
     ),
     "two lines out": (
-        checks.no_effect_twice,
+        checks.check_effects,
         [event(1, "server line"), event(4, "server line", server="s1")],
         {"effects": {}},
     ),
     "a dial after the grace": (
-        checks.drains_kept,
+        checks.check_drains,
         [event(0, "list answer", status=200, told=[("s0", "DRAINING")]), event(30_000, "server line")],
         {"grace": 20_000},
     ),
     "a rush on a cold server": (
-        checks.cold_spared,
+        checks.check_cold_budgets,
         [event(0, "cold", budget=3, window=100, until=1000)]
         + [event(at, "server line") for at in (50, 60, 99, 101)],
         {},
@@ -182,7 +184,7 @@
         REQUEST | {"at": 0}, event(1, "server line"), event(2, "server answer", answer="BUSY"),
         event(3, "server end"), event(4, "server line", server="s1"),
     ]  # fmt: skip
-    assert not checks.no_effect_twice(entries, {"once": "once"})
+    assert not checks.check_effects(entries, {"once": "once"})
 
 
 @pytest.mark.parametrize(
--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -4,7 +4,7 @@
 import sys
 
 from ..peers.stated import Unfit
-from . import cold, configuration_scenarios, talk
+from . import cold, configuration_scenarios, membership
 from .measure import measure_processes
 from .play import ScenarioRun
 from .scale import command as scale
@@ -33,7 +33,7 @@
         "--processes", action="store_true", help="real daemons on loopback, with peers and without"
     )
     peers.add_argument("--acquainted", action="store_true", help="all know each other at the start")
-    scale.add_to(commands)
+    scale.add_parser(commands)
     cold_parser = commands.add_parser(
         "cold", help="measure the load of fleets on cold servers, in virtual time"
     )
@@ -55,7 +55,9 @@
         return cold.main(arguments)
     if arguments.command == "peers" and arguments.processes:
         for size in arguments.balancers:
-            print("\n".join(measure_processes(size, arguments.seed, round(arguments.quiet * talk.SECOND))))
+            print(
+                "\n".join(measure_processes(size, arguments.seed, round(arguments.quiet * membership.SECOND)))
+            )
         return 0
     if arguments.command == "peers":
         return measure_peers(arguments.balancers, arguments.seed, arguments.quiet, arguments.acquainted)
@@ -72,7 +74,7 @@
         + "| --- " * len(configuration_scenarios.COLUMNS)
         + "|"
     )
-    cut_duration = round(arguments.cut * talk.SECOND)
+    cut_duration = round(arguments.cut * membership.SECOND)
     configuration_scenarios.run_scenarios(
         configuration_scenarios.Options(arguments.balancers, arguments.size, cut_duration),
         arguments.seed,
@@ -83,10 +85,10 @@
 
 def measure_peers(sizes: list[int], seed: int, quiet: float, acquainted: bool) -> int:
     """Prints a row for each fleet size as soon as it is measured."""
-    print("| " + " | ".join(talk.HEADS) + " |\n" + "| --- " * len(talk.HEADS) + "|")
+    print("| " + " | ".join(membership.COLUMNS) + " |\n" + "| --- " * len(membership.COLUMNS) + "|")
     for size in sizes:
-        figures = talk.measure(size, seed, round(quiet * talk.SECOND), acquainted)
-        print("| " + " | ".join(talk.row(figures)) + " |", flush=True)
+        figures = membership.measure(size, seed, round(quiet * membership.SECOND), acquainted)
+        print("| " + " | ".join(membership.format_row(figures)) + " |", flush=True)
     return 0
 
 
--- a/thymedeck/lab/play.py
+++ b/thymedeck/lab/play.py
@@ -9,7 +9,7 @@
 from . import checks
 from .scenario import Scenario, TimedAction
 from .stage import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
-from .standins import Listed
+from .standins import ListedServer
 
 EFFECTS = {"chat": "repeatable", "once": "once"}
 SETTLE_TIME = 5 * SECOND  # after the scenario's length, so that pending requests are answered
@@ -72,8 +72,8 @@
             for _ in range(group.count):
                 server_id = f"s{len(listed)}"
                 testbed.add_server(server_id, limit=group.limit, work=figure(group.work, TIMES))
-                listed.append(Listed(server_id, zone=group.zone, kind=group.kind))
-        testbed.list_service.set(*listed)
+                listed.append(ListedServer(server_id, zone=group.zone, kind=group.kind))
+        testbed.list_service.update_servers(*listed)
         if spec.list_service.known:
             testbed.known_servers = listed
         if spec.list_service.capacity:
@@ -108,7 +108,7 @@
                 if testbed.run_until(self.is_membership_agreed, scenario.agreement_timeout):
                     self.agreement_time = testbed.now() - since
             for clients in testbed.client_groups:
-                clients.stopped = True
+                clients.is_stopped = True
             testbed.run(SETTLE_TIME)
             return self.check()
         finally:
@@ -133,44 +133,44 @@
     def apply_to_list_service(self, what: str) -> None:
         service = self.testbed.list_service
         if what == "down":
-            service.fall()
+            service.take_down()
         elif what == "up":
-            service.down = False
+            service.is_down = False
         elif what == "stale":
-            service.stale = dict(service.servers)
+            service.stale_servers = dict(service.servers)
         elif what == "wrong":
-            service.wrong = True
+            service.sends_malformed_body = True
         else:
-            service.stale, service.wrong = None, False
+            service.stale_servers, service.sends_malformed_body = None, False
 
     def apply_to_server(self, action: TimedAction, name: str) -> None:
         testbed = self.testbed
         server = testbed.servers[name]
         match action.what:
             case "drain":
-                server.draining = True
-                testbed.list_service.change(name, state="DRAINING")
+                server.is_draining = True
+                testbed.list_service.change_server(name, state="DRAINING")
             case "leave" | "kill":
                 if action.what == "leave":
-                    testbed.list_service.change(name, state="DELETED")
+                    testbed.list_service.change_server(name, state="DELETED")
                 server.stop()
             case "cold":
                 # The server restarts under the same name, and the list gives its new start time.
                 server.stop()
-                server.draining = server.silent = server.fallen = False
+                server.is_draining = server.is_silent = server.has_failed = False
                 testbed.open_server(server)
                 server.start_cold(action.budget, 8 * SECOND)
-                testbed.list_service.change(
+                testbed.list_service.change_server(
                     name, state="SERVING", started_ms=testbed.loop.system.time_ns() / 1_000_000
                 )
             case "silent":
-                server.silent = True
+                server.is_silent = True
             case "lose answers":
                 server.lose_answers = True
             case "reset lines":
                 server.reset_lines = True
             case "well":
-                server.silent = server.lose_answers = server.reset_lines = False
+                server.is_silent = server.lose_answers = server.reset_lines = False
 
     # Evaluation
 
@@ -193,11 +193,13 @@
             len(testbed.record.of_kind("server line")),
         )
         results = [
-            CheckResult("one final answer in time", requests, checks.one_answer(entries, testbed.now())),
-            CheckResult("no effect twice", dials, checks.no_effect_twice(entries, EFFECTS)),
-            CheckResult("drains respected", dials, checks.drains_kept(entries, scenario.drain_grace)),
+            CheckResult("one final answer in time", requests, checks.check_answers(entries, testbed.now())),
+            CheckResult("no effect twice", dials, checks.check_effects(entries, EFFECTS)),
+            CheckResult("drains respected", dials, checks.check_drains(entries, scenario.drain_grace)),
             CheckResult(
-                "no cold server overloaded", len(testbed.record.of_kind("cold")), checks.cold_spared(entries)
+                "no cold server overloaded",
+                len(testbed.record.of_kind("cold")),
+                checks.check_cold_budgets(entries),
             ),
         ]
         faults = [
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -31,9 +31,9 @@
 from ..peers.stated import read as read_peers
 from ..peers.words import Came, Event, Send, Tick
 from .faults import FaultInjector
+from .membership import peer_settings
 from .records import Record
-from .standins import Crowd, Door, Listed, ListService, Server
-from .talk import stated
+from .standins import ClientGroup, ListedServer, ListeningSocket, ListService, Server
 from .world import Machine, VirtualNetwork
 
 SECOND = 10_000
@@ -55,8 +55,8 @@
         self.faults = FaultInjector(seed)
         self.list_service = ListService(loop, self.record, self.server_address_for)
         self.servers: dict[str, Server] = {}
-        self.known_servers: list[Listed] = []  # given to balancers as their last known list
-        self.client_groups: list[Crowd] = []
+        self.known_servers: list[ListedServer] = []  # given to balancers as their last known list
+        self.client_groups: list[ClientGroup] = []
         self.alive: set[str] = set()  # balancers that run and were not told to stop
 
     def now(self) -> int:
@@ -70,10 +70,12 @@
 
     def add_clients(
         self, seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int
-    ) -> Crowd:
-        clients = Crowd(self.loop, self.record, self.client_endpoints, seed, rate, life, classes, deadline)
+    ) -> ClientGroup:
+        clients = ClientGroup(
+            self.loop, self.record, self.client_endpoints, seed, rate, life, classes, deadline
+        )
         self.client_groups.append(clients)
-        clients.start()
+        clients.schedule_arrival()
         return clients
 
     def client_endpoints(self) -> list[tuple[str, tuple[str, int]]]:
@@ -163,7 +165,7 @@
         return self.hosts[name]
 
     def open_server(self, server: Server) -> None:
-        server.listen((self.host_of(server.ident), 8000), lambda source: self.network.name_of(source[0]))
+        server.listen((self.host_of(server.server_id), 8000), lambda source: self.network.name_of(source[0]))
 
     def server_address_for(self, server: str, balancer: str) -> str:
         return f"{self.host_of(server)}:8000"
@@ -175,15 +177,15 @@
 
     def list_address(self, name: str) -> tuple[str, int]:
         port = 10_000 + int(name[1:])
-        if name not in self.list_service.doors:
-            self.list_service.open_for(name, ("10.2.0.1", port))
+        if name not in self.list_service.listening_sockets:
+            self.list_service.listen_for(name, ("10.2.0.1", port))
         return "10.2.0.1", port
 
     def peers_settings(self, name: str) -> Stated:
         address = (self.host_of(name), 7946)
         join = tuple(f"{self.host_of(f'b{index}')}:7946" for index in range(3))
         own = {"listen": address, "advertise": spelt(address), "keys": (bytes.fromhex(SHARED_KEY),)}
-        return stated(0, join, **(self.peers_options | own))
+        return peer_settings(0, join, **(self.peers_options | own))
 
     def start(self, name: str) -> None:
         machine = self.machines[name] = Machine(self.network, self.host_of(name))
@@ -328,7 +330,7 @@
         self.source = source
         self.target = target
         self.destination = destination
-        self.listener = Door(testbed.loop, ("127.0.0.1", 0), self.accept)
+        self.listener = ListeningSocket(testbed.loop, ("127.0.0.1", 0), self.accept)
 
     def accept(self, sock: object, source: tuple[str, int]) -> None:
         near = Pipe(self, sock, self.source, self.target)
@@ -405,8 +407,8 @@
         self.errors.append(error)
 
     def open_server(self, server: Server) -> None:
-        self.server_addresses[server.ident] = server.listen(
-            self.server_addresses.get(server.ident) or self.unused_address(),
+        self.server_addresses[server.server_id] = server.listen(
+            self.server_addresses.get(server.server_id) or self.unused_address(),
             lambda source: self.source_names.pop(source, "?"),
         )
 
@@ -435,9 +437,9 @@
         return self.relay_address("clients", name, self.listen_address(name))
 
     def list_address(self, name: str) -> tuple[str, int]:
-        if name not in self.list_service.doors:
-            self.list_service.open_for(name, ("127.0.0.1", 0))
-        return self.relay_address(name, "list", self.list_service.doors[name].address)
+        if name not in self.list_service.listening_sockets:
+            self.list_service.listen_for(name, ("127.0.0.1", 0))
+        return self.relay_address(name, "list", self.list_service.listening_sockets[name].address)
 
     def write_peers_file(self, name: str) -> Path:
         """Writes the peers settings; creates datagram relays, whose addresses outlive balancer restarts."""
@@ -515,8 +517,8 @@
         """Starts that many balancers with one listed server; returns their names once they accept clients."""
         names = [f"b{index}" for index in range(balancers)]
         self.add_server("s0")
-        self.known_servers = [Listed("s0")]
-        self.list_service.set(*self.known_servers)
+        self.known_servers = [ListedServer("s0")]
+        self.list_service.update_servers(*self.known_servers)
         for name in names:
             self.start(name)
         self.wait_until_started(*names)
@@ -585,8 +587,8 @@
         for process in self.processes.values():
             process.wait()
         for listener in [
-            *self.list_service.doors.values(),
-            *(listener for server in self.servers.values() for listener in server.doors),
+            *self.list_service.listening_sockets.values(),
+            *(listener for server in self.servers.values() for listener in server.listening_sockets),
         ]:
             listener.close()
         for relay in self.stream_relays.values():
