--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -43,7 +43,7 @@
 from thymedeck.lab.configured import PLAYS, Given, Play
 from thymedeck.lab.faults import Fault
 from thymedeck.lab.followers import Fleet, Node
-from thymedeck.peers.stated import Unfit as UnfitSheet
+from thymedeck.peers.settings import SettingsFileError
 
 BOUND = Bounds().in_force_within
 HOUR = 3600 * SECOND
@@ -635,7 +635,7 @@
         ({"keepers": ["127.0.0.1:1", "127.0.0.1:2"]}, "keepers: 2, with fewer than 3 none may be lost"),
         ({"keepers": ["127.0.0.1:1"] * 3}, "keepers: one is named twice"),
         ({"keepers": ["there:1"] * 3}, "keepers: 'there' is no IPv4 address"),
-        ({"ask_every": "1"}, "ask_every: '1' is not a figure with a unit of ms, s, min"),
+        ({"ask_every": "1"}, "ask_every: '1' is not a number with one of the units ms, s, min"),
         ({"ask_every": "2 s"}, "in_force_within: '3 s' is under ask_every and answer_within of every keeper"),
         ({"fresh_for": "1.6 s"}, "in_force_within: '3 s' is under two times fresh_for"),
         ({"read_every": "1 s"}, "fresh_for: '1.5 s' is under two times read_every"),
@@ -647,6 +647,6 @@
 )
 def test_an_unfit_sheet_is_refused_with_one_line(tmp_path: Path, changed: dict, line: str) -> None:
     path = sheet(tmp_path, **changed)
-    with pytest.raises(UnfitSheet) as why:
+    with pytest.raises(SettingsFileError) as why:
         read(path)
     assert str(why.value) == f"{path}: {line}"
--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -11,7 +11,7 @@
 from thymedeck.lab.play import Run
 from thymedeck.lab.scenario import read as read_scenario
 from thymedeck.lab.stage import SECOND, Virtual
-from thymedeck.peers.stated import figure, read
+from thymedeck.peers.settings import load_peer_settings, parse_quantity
 
 ROOT = Path(__file__).parents[1]
 KEY = "00" * 16
@@ -97,16 +97,16 @@
 def test_the_example_can_be_used_and_shows_what_holds_without_it(folder: Path) -> None:
     (folder / "peers.toml").write_text((ROOT / "deploy" / "peers.toml").read_text())
     assert thymedeck(folder, "check").returncode == 0
-    shown = read(str(folder / "peers.toml"))
+    shown = load_peer_settings(str(folder / "peers.toml"))
     (folder / "peers.toml").write_text(PEERS.replace('"f"', '"muscat"'))
-    plain = read(str(folder / "peers.toml"))
+    plain = load_peer_settings(str(folder / "peers.toml"))
     for name in plain.__struct_fields__:
         assert name == "join" or getattr(shown, name) == getattr(plain, name)
 
 
 @pytest.mark.parametrize("text, value", [("300 ms", 3000), ("1.5 s", 15_000), ("2min", 1_200_000)])
 def test_figures_have_units(text: str, value: int) -> None:
-    assert figure(text, {"ms": 10, "s": 10_000, "min": 600_000}) == value
+    assert parse_quantity(text, {"ms": 10, "s": 10_000, "min": 600_000}) == value
 
 
 def test_decisions_are_the_same_with_peers_on_and_off() -> None:
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -11,7 +11,7 @@
 from thymedeck.lab.scenario import read
 from thymedeck.lab.stage import KEY, SECOND, Guest, Processes
 from thymedeck.peers.messages import Counts, Kind, Rumour, Told
-from thymedeck.peers.stated import Unfit
+from thymedeck.peers.settings import SettingsFileError
 
 FOLDER = Path(__file__).parent / "scenarios" / "lab"
 NEW_KEY = "ff" * 16
@@ -192,7 +192,7 @@
     assert change[0] in text
     path = tmp_path / "wrong.toml"
     path.write_text(text.replace(*change, 1))
-    with pytest.raises(Unfit, match="wrong.toml"):
+    with pytest.raises(SettingsFileError, match="wrong.toml"):
         read(str(path))
     import sys
 
--- a/thymedeck/configuration/sheet.py
+++ b/thymedeck/configuration/sheet.py
@@ -1,6 +1,6 @@
 """The file of settings for one version for all: strict TOML, times with units. Nothing reads it yet.
 
-Raises Unfit with one line that names the file, the entry and the reason.
+Raises SettingsFileError with one line that names the file, the entry and the reason.
 """
 
 from functools import partial
@@ -9,7 +9,14 @@
 import msgspec
 
 from ..net.told import server_address
-from ..peers.stated import TIMES, Unfit, check_least, entry_of, figure, sheet_of
+from ..peers.settings import (
+    TIME_UNITS,
+    SettingsFileError,
+    check_minimum,
+    load_toml,
+    parse_entry,
+    parse_quantity,
+)
 from .messages import Bounds
 
 LEAST_KEEPERS = 3
@@ -38,21 +45,27 @@
 
 
 def read(path: str) -> Stated:
-    """Raises Unfit."""
-    sheet: Sheet = sheet_of(path, Sheet)
+    """Raises SettingsFileError."""
+    sheet: Sheet = load_toml(path, Sheet)
 
-    entry = partial(entry_of, path, sheet)
-    times = {name: entry(name, figure, TIMES) for name in Bounds.__struct_fields__ if name != "refusers"}
+    entry = partial(parse_entry, path, sheet)
+    times = {
+        name: entry(name, parse_quantity, TIME_UNITS)
+        for name in Bounds.__struct_fields__
+        if name != "refusers"
+    }
     bounds = Bounds(**times, refusers=sheet.refusers)
     keepers = entry("keepers", lambda all_: tuple("{}:{}".format(*server_address(one)) for one in all_))
     if len(keepers) < LEAST_KEEPERS:
-        raise Unfit(f"{path}: keepers: {len(keepers)}, with fewer than {LEAST_KEEPERS} none may be lost")
+        raise SettingsFileError(
+            f"{path}: keepers: {len(keepers)}, with fewer than {LEAST_KEEPERS} none may be lost"
+        )
     if len(set(keepers)) < len(keepers):
-        raise Unfit(f"{path}: keepers: one is named twice")
+        raise SettingsFileError(f"{path}: keepers: one is named twice")
     if not sheet.saved:
-        raise Unfit(f"{path}: saved: no file is named")
+        raise SettingsFileError(f"{path}: saved: no file is named")
     if sheet.refusers < 1:
-        raise Unfit(f"{path}: refusers: {sheet.refusers} is under 1")
+        raise SettingsFileError(f"{path}: refusers: {sheet.refusers} is under 1")
     # Each asked in turn by a follower whose ask has just been answered: the last answer has to come in time.
     turn = bounds.ask_every + len(keepers) * bounds.answer_within
     for name, least, why in (
@@ -61,5 +74,5 @@
         ("fresh_for", 2 * bounds.read_every, "is under two times read_every"),
         ("give_up_after", bounds.in_force_within, "is under in_force_within"),
     ):
-        check_least(path, sheet, bounds, name, least, why)
+        check_minimum(path, sheet, bounds, name, least, why)
     return Stated(keepers, Path(path).parent / sheet.saved, bounds)
--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -3,7 +3,7 @@
 import argparse
 import sys
 
-from ..peers.stated import Unfit
+from ..peers.settings import SettingsFileError
 from . import cold, configured, talk
 from .measure import measure_processes
 from .play import Run
@@ -73,7 +73,7 @@
 def run_scenario(given: argparse.Namespace) -> int:
     try:
         scenario = read(given.scenario)
-    except Unfit as why:
+    except SettingsFileError as why:
         print(f"thymedeck.lab: {why}", file=sys.stderr)
         return 2
     seed = scenario.sheet.seed if given.seed is None else given.seed
--- a/thymedeck/lab/play.py
+++ b/thymedeck/lab/play.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct, structs
 
-from ..peers.stated import RATES, TIMES, figure
+from ..peers.settings import RATE_UNITS, TIME_UNITS, parse_quantity
 from . import checks
 from .scenario import Deed, Scenario
 from .stage import SECOND, Processes, Stage, Virtual
@@ -71,13 +71,13 @@
         for group in sheet.servers:
             for _ in range(group.count):
                 ident = f"s{len(made)}"
-                stage.add_server(ident, limit=group.limit, work=figure(group.work, TIMES))
+                stage.add_server(ident, limit=group.limit, work=parse_quantity(group.work, TIME_UNITS))
                 made.append(Listed(ident, zone=group.zone, kind=group.kind))
         stage.list.set(*made)
         if sheet.list_service.known:
             stage.known = made
         if sheet.list_service.capacity:
-            stage.list.capacity = figure(sheet.list_service.capacity, RATES)
+            stage.list.capacity = parse_quantity(sheet.list_service.capacity, RATE_UNITS)
             stage.list.refusal_cost = sheet.list_service.refusal_cost
         for name in self.names:
             stage.start(name)
@@ -93,10 +93,10 @@
                 for one in scenario.faults
             ]
             for at, one in enumerate(scenario.sheet.clients):
-                rate = figure(one.rate, RATES)
+                rate = parse_quantity(one.rate, RATE_UNITS)
                 stage.add_crowd(
-                    self.seed * 1000 + at, rate, figure(one.life, TIMES), tuple(one.classes),
-                    figure(one.deadline, TIMES),
+                    self.seed * 1000 + at, rate, parse_quantity(one.life, TIME_UNITS), tuple(one.classes),
+                    parse_quantity(one.deadline, TIME_UNITS),
                 )  # fmt: skip
             for at, deed in scenario.deeds:
                 stage.run(max(begin + at - stage.now(), 0))
--- a/thymedeck/lab/scenario.py
+++ b/thymedeck/lab/scenario.py
@@ -1,14 +1,14 @@
 """A play as a file of TOML: who is there, what breaks between them and when, and what is asked of the end.
 
-Decoded strictly. Raises Unfit with one line that names the file, the entry and the reason. Times are figures
-with a unit ("300 ms"), rates too ("20 /s").
+Decoded strictly. Raises SettingsFileError with one line that names the file, the entry and the reason.
+Times are figures with a unit ("300 ms"), rates too ("20 /s").
 """
 
 from typing import Literal
 
 import msgspec
 
-from ..peers.stated import RATES, TIMES, Unfit, figure, sheet_of
+from ..peers.settings import RATE_UNITS, TIME_UNITS, SettingsFileError, load_toml, parse_quantity
 from .faults import Fault
 
 MOST_BALANCERS = 500
@@ -95,12 +95,12 @@
 
 
 def read(path: str) -> Scenario:
-    """Raises Unfit."""
-    sheet: Sheet = sheet_of(path, Sheet)
+    """Raises SettingsFileError."""
+    sheet: Sheet = load_toml(path, Sheet)
     where = ""
 
     def time(text: str) -> int:
-        return figure(text, TIMES)
+        return parse_quantity(text, TIME_UNITS)
 
     try:
         where = "length"
@@ -115,12 +115,12 @@
                 raise ValueError("a count under 1, or a limit below zero")
         where = "list_service"
         if sheet.list_service.capacity:
-            figure(sheet.list_service.capacity, RATES)
+            parse_quantity(sheet.list_service.capacity, RATE_UNITS)
         if not 0 <= sheet.list_service.refusal_cost <= 1:
             raise ValueError("refusal_cost is a part, 0 to 1")
         for at, clients in enumerate(sheet.clients):
             where = f"clients[{at}]"
-            figure(clients.rate, RATES)
+            parse_quantity(clients.rate, RATE_UNITS)
             time(clients.life), time(clients.deadline)
         faults = []
         for at, one in enumerate(sheet.broken):
@@ -137,25 +137,25 @@
         where = "grace"
         grace = time(sheet.grace)
     except ValueError as why:
-        raise Unfit(f"{path}: {where}: {why}") from None
+        raise SettingsFileError(f"{path}: {where}: {why}") from None
     return Scenario(sheet, length, faults, sorted(deeds, key=lambda one: one[0]), agree, grace)
 
 
 def as_faults(one: Broken) -> list[Fault]:
     if not all(0 <= part <= 1 for part in (one.lose, one.repeat, one.garble)):
         raise ValueError("lose, repeat and garble are parts, 0 to 1")
-    since = figure(one.at, TIMES)
+    since = parse_quantity(one.at, TIME_UNITS)
     more = {
         "cut": one.cut,
-        "delay": figure(one.delay, TIMES) if one.delay else 0,
-        "spread": figure(one.spread, TIMES) if one.spread else 0,
+        "delay": parse_quantity(one.delay, TIME_UNITS) if one.delay else 0,
+        "spread": parse_quantity(one.spread, TIME_UNITS) if one.spread else 0,
         "lose": one.lose,
         "repeat": one.repeat,
         "garble": one.garble,
     }
     if not any(more.values()):
         raise ValueError("nothing is broken")
-    until = since + figure(one.lasts, TIMES)
+    until = since + parse_quantity(one.lasts, TIME_UNITS)
     first, second = one.between
     ways = [(first, second)] if one.one_way else [(first, second), (second, first)]
     return [Fault(since, until, source, target, **more) for source, target in ways]
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -26,8 +26,7 @@
 from ..peers.carrier import Carrier
 from ..peers.messages import LARGEST, VERSION, Envelope, Kind, Message, Unusable, encode
 from ..peers.node import TICK, Peer, Peers
-from ..peers.stated import Stated, spelt
-from ..peers.stated import read as read_peers
+from ..peers.settings import PeerSettings, format_address, load_peer_settings
 from ..peers.words import Came, Event, Send, Tick
 from .faults import Faults
 from .records import Record
@@ -79,8 +78,8 @@
     def config(self, name: str, seed: int) -> dict:
         return {
             "name": name,
-            "listen": spelt(self.listen_at(name)),
-            "discovery": spelt(self.list_at(name)),
+            "listen": format_address(self.listen_at(name)),
+            "discovery": format_address(self.list_at(name)),
             "seed": f"{seed:x}",
             "settings": self.settings,
             "known": {
@@ -170,10 +169,10 @@
             self.list.open_for(name, ("10.2.0.1", port))
         return "10.2.0.1", port
 
-    def peers_stated(self, name: str) -> Stated:
+    def peers_stated(self, name: str) -> PeerSettings:
         here = (self.host(name), 7946)
         join = tuple(f"{self.host(f'b{at}')}:7946" for at in range(3))
-        own = {"listen": here, "advertise": spelt(here), "keys": (bytes.fromhex(KEY),)}
+        own = {"listen": here, "advertise": format_address(here), "keys": (bytes.fromhex(KEY),)}
         return stated(0, join, **(self.peers | own))
 
     def start(self, name: str) -> None:
@@ -400,7 +399,7 @@
     def address_for(self, server: str, balancer: str) -> str:
         # One that nobody opened yet gets a port at which nothing listens.
         to = self.server_at.get(server) or self.server_at.setdefault(server, self.free_port())
-        return spelt(self.way(balancer, server, to))
+        return format_address(self.way(balancer, server, to))
 
     def free_port(self) -> tuple[str, int]:
         self.port += 1
@@ -429,10 +428,12 @@
         relay = self.datagram_relays[name]
         given = {
             "fleet": "lab",
-            "listen": spelt(relay.to),
-            "advertise": spelt(relay.sock.getsockname()),
+            "listen": format_address(relay.to),
+            "advertise": format_address(relay.sock.getsockname()),
             "key_file": "peers.key",
-            "join": [spelt(self.datagram_relays[one].sock.getsockname()) for one in ("b0", "b1", "b2")],
+            "join": [
+                format_address(self.datagram_relays[one].sock.getsockname()) for one in ("b0", "b1", "b2")
+            ],
             "answer_within": "300 ms",
         }
         text = "".join(
@@ -587,7 +588,7 @@
         here = self.sock.getsockname()
         stage.datagram_relays[name] = DatagramRelay(stage, name, here)
         stage.datagram_names[here] = name
-        own = read_peers(str(stage.write_peers(name)))
+        own = load_peer_settings(str(stage.write_peers(name)))
         self.envelope = Envelope(own.fleet, [bytes.fromhex(key)])
         unix_ms = stage.system.time_ns() // 1_000_000
         self.peers = Peers(own, name, 1, self.loop.now(), unix_ms, 1)
--- a/thymedeck/lab/talk.py
+++ b/thymedeck/lab/talk.py
@@ -16,7 +16,7 @@
 
 from ..peers.messages import Counts, Envelope, Unusable
 from ..peers.node import TICK, Peer, Peers
-from ..peers.stated import Stated
+from ..peers.settings import PeerSettings
 from ..peers.words import Came, Counted, Event, Leaving, Log, Send, Tick
 from .faults import Fault, Faults
 
@@ -29,15 +29,15 @@
 LATE = 20  # a tick comes so late at the most
 
 
-def stated(at: int, join: tuple[str, ...] = (), **more: object) -> Stated:
+def stated(at: int, join: tuple[str, ...] = (), **more: object) -> PeerSettings:
     """As the example's file states it, at an address of its own."""
     given = {
         "fleet": "lab", "listen": ("127.0.0.1", 7946), "advertise": address(at), "join": join, "keys": KEYS,
-        "keys_from": Path("none"), "period": SECOND, "answer_within": 3_000, "notice_within": 5 * SECOND,
+        "key_path": Path("none"), "period": SECOND, "answer_within": 3_000, "notice_within": 5 * SECOND,
         "forget_after": 90 * SECOND, "send_most": 2_000, "take_most": 500, "peers_most": 1_000,
         "servers_most": 120,
     }  # fmt: skip
-    return Stated(**(given | more))
+    return PeerSettings(**(given | more))
 
 
 def address(at: int) -> str:
--- a/thymedeck/peers/carrier.py
+++ b/thymedeck/peers/carrier.py
@@ -11,7 +11,7 @@
 from .ledger import Sum
 from .messages import LARGEST, Counts, Envelope, Unusable, server_key
 from .node import TICK, Peers
-from .stated import Stated, Unfit, read_keys
+from .settings import PeerSettings, SettingsFileError, load_keys
 from .words import Action, Came, Counted, Deaf, Event, Leaving, Log, Send, Tick
 
 if TYPE_CHECKING:
@@ -26,7 +26,9 @@
 class Carrier:
     """Raises OSError where the address can't be listened on."""
 
-    def __init__(self, service: "Service", stated: Stated, system: System, name: str, seed: int) -> None:
+    def __init__(
+        self, service: "Service", stated: PeerSettings, system: System, name: str, seed: int
+    ) -> None:
         self.service = service
         self.loop = service.loop
         self.stated = stated
@@ -139,8 +141,8 @@
     def reload_keys(self) -> None:
         """Keys are changed under way: the file is read again, a bad one changes nothing."""
         try:
-            self.envelope.keys = read_keys(self.stated.keys_from)
-        except Unfit as why:
+            self.envelope.keys = load_keys(self.stated.key_path)
+        except SettingsFileError as why:
             self.service.log("peer_keys_kept", why=str(why))
             return
         self.service.log("peer_keys", count=len(self.envelope.keys))
--- a/thymedeck/peers/node.py
+++ b/thymedeck/peers/node.py
@@ -25,7 +25,7 @@
     encode,
     short_digest,
 )
-from .stated import Stated, is_address
+from .settings import PeerSettings, is_address
 from .words import Action, Came, Counted, Deaf, Event, Leaving, Log, Send, Tick
 
 TICK = SECOND // 10
@@ -149,7 +149,9 @@
 
 
 class Peers:
-    def __init__(self, stated: Stated, name: str, seed: int, now: int, unix_ms: int, expected: int) -> None:
+    def __init__(
+        self, stated: PeerSettings, name: str, seed: int, now: int, unix_ms: int, expected: int
+    ) -> None:
         """`unix_ms` is the wall clock now; `expected` the balancers of the fleet as far as it is stated."""
         self.stated = stated
         self.name = name
--- a/thymedeck/peers/start.py
+++ b/thymedeck/peers/start.py
@@ -8,7 +8,7 @@
 from ..net.told import Start, StartError
 from .carrier import Carrier
 from .messages import is_name
-from .stated import Stated, Unfit, read
+from .settings import PeerSettings, SettingsFileError, load_peer_settings
 
 if TYPE_CHECKING:
     from ..net.service import Service
@@ -21,13 +21,13 @@
     if not is_name(start.told.name):
         raise StartError(f"{path}: {start.told.name!r} is no name for a peer")
     try:
-        stated = read(path)
-    except Unfit as why:
+        stated = load_peer_settings(path)
+    except SettingsFileError as why:
         raise StartError(str(why)) from None
     return partial(join, stated, start)
 
 
-def join(stated: Stated, start: Start, service: "Service", system: System) -> None:
+def join(stated: PeerSettings, start: Start, service: "Service", system: System) -> None:
     carrier = Carrier(service, stated, system, start.told.name, start.seed)
     service.on_reload.append(carrier.reload_keys)
     service.log("peers_on", listen="{}:{}".format(*carrier.sock.getsockname()), fleet=stated.fleet)
