--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,9 +11,11 @@
 from hypothesis import strategies as st
 
 from thymedeck.lab.talk import KEYS, SECOND, Talk, address
-from thymedeck.peers import node as decisions
-from thymedeck.peers.ledger import Ledger
-from thymedeck.peers.lives import KEY, LINK, Chain, ahead, makes, proof
+from thymedeck.peers import membership
+from thymedeck.peers.counts_table import Ledger
+from thymedeck.peers.events import Counted
+from thymedeck.peers.liveness import KEY, LINK, Chain, ahead, makes, proof
+from thymedeck.peers.membership import STEP, Peers
 from thymedeck.peers.messages import (
     LARGEST,
     LATEST,
@@ -27,8 +29,6 @@
     Unusable,
     encode,
 )
-from thymedeck.peers.node import STEP, Peers
-from thymedeck.peers.words import Counted
 
 SIZE = 8
 
@@ -202,7 +202,7 @@
 
 
 def test_one_whose_links_are_used_up_is_met_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decisions, "LENGTH", 2)
+    monkeypatch.setattr(membership, "LENGTH", 2)
     talk = met()
     first = talk.node(3).incarnation // STEP
     for _ in range(4):
@@ -278,8 +278,8 @@
         talk.arrive(address(0), envelope.close(ping))
         if at % 50 == 0:
             talk.run(SECOND // 50)
-    assert len(node.peers) == SIZE - 1 and len(node.candidates) <= decisions.MOST_CANDIDATES
-    assert len(node.waiting) <= decisions.MOST_WAITING
+    assert len(node.peers) == SIZE - 1 and len(node.candidates) <= membership.MOST_CANDIDATES
+    assert len(node.waiting) <= membership.MOST_WAITING
     talk.run(10 * SECOND)
     assert talk.agree()
     bounded(talk)
@@ -413,7 +413,7 @@
         test_a_death_is_known_to_all_within_five_seconds_and_a_restart_is_another,
     ),
     "repeats count": (
-        lambda patch: patch.setattr(decisions.Seen, "is_new", lambda seen, counter: True),
+        lambda patch: patch.setattr(membership.Seen, "is_new", lambda seen, counter: True),
         test_a_repeated_datagram_counts_once_and_an_old_one_not_at_all,
     ),
     "lies about others count": (
@@ -425,7 +425,7 @@
         test_one_with_the_key_that_calls_all_others_dead_does_no_harm,
     ),
     "any proof is taken": (
-        lambda patch: patch.setattr(decisions, "makes", lambda link, steps, earlier: True),
+        lambda patch: patch.setattr(membership, "makes", lambda link, steps, earlier: True),
         test_nobody_proves_the_life_of_another,
     ),
     "an old proof brings back": (
@@ -447,7 +447,7 @@
         test_a_repeated_datagram_counts_once_and_an_old_one_not_at_all,
     ),
     "no bound on bytes": (
-        lambda patch: patch.setattr(decisions.Window, "left", lambda window, now: 10**9),
+        lambda patch: patch.setattr(membership.Window, "left", lambda window, now: 10**9),
         test_a_death_is_known_to_all_within_five_seconds_and_a_restart_is_another,
     ),
 }
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -7,8 +7,8 @@
 import os
 from collections import Counter
 
+from ...peers.membership import Peers
 from ...peers.messages import Counts, Envelope, Kind, Message, Unusable
-from ...peers.node import Peers
 from ..measure import PATIENCE
 from ..play import settings
 from ..stage import KEY, Processes, cpu_seconds
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -12,9 +12,9 @@
 from ...net.loop import READ, Loop
 from ...net.system import System
 from ...net.told import server_address
+from ...peers.events import Action, Came, Counted, Send, Tick
+from ...peers.membership import TICK, Peer, Peers
 from ...peers.messages import LARGEST, Envelope, Unusable
-from ...peers.node import TICK, Peer, Peers
-from ...peers.words import Action, Came, Counted, Send, Tick
 from ..stage import KEY
 from ..talk import SECOND, Truth, stated
 from .control import Tally
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -23,11 +23,11 @@
 from ..net.service import Service
 from ..net.system import System
 from ..net.told import Start, Told, server_address
-from ..peers.carrier import Carrier
+from ..peers.events import Came, Event, Send, Tick
+from ..peers.membership import TICK, Peer, Peers
 from ..peers.messages import LARGEST, VERSION, Envelope, Kind, Message, Unusable, encode
-from ..peers.node import TICK, Peer, Peers
 from ..peers.settings import PeerSettings, format_address, load_peer_settings
-from ..peers.words import Came, Event, Send, Tick
+from ..peers.transport import Carrier
 from .faults import Faults
 from .records import Record
 from .standins import Crowd, Door, Listed, ListService, Server
--- a/thymedeck/lab/talk.py
+++ b/thymedeck/lab/talk.py
@@ -14,10 +14,10 @@
 
 from msgspec import Struct
 
+from ..peers.events import Came, Counted, Event, Leaving, Log, Send, Tick
+from ..peers.membership import TICK, Peer, Peers
 from ..peers.messages import Counts, Envelope, Unusable
-from ..peers.node import TICK, Peer, Peers
 from ..peers.settings import PeerSettings
-from ..peers.words import Came, Counted, Event, Leaving, Log, Send, Tick
 from .faults import Fault, Faults
 
 SECOND = 10_000
--- a/thymedeck/peers/node.py
+++ b/thymedeck/peers/membership.py
@@ -11,9 +11,10 @@
 from collections.abc import Callable, Sequence
 from math import ceil, log2
 
-from .bounds import SECOND, Seen, Window
-from .ledger import Ledger, Sum
-from .lives import DOUBT, KEY, LENGTH, ONE, Chain, ahead, doubt, key_of, makes, proof, split
+from .counts_table import Ledger, Sum
+from .events import Action, Came, Counted, Deaf, Event, Leaving, Log, Send, Tick
+from .limits import SECOND, Seen, Window
+from .liveness import DOUBT, KEY, LENGTH, ONE, Chain, ahead, doubt, key_of, makes, proof, split
 from .messages import (
     DIGEST,
     MOST_RUMOURS,
@@ -26,7 +27,6 @@
     short_digest,
 )
 from .settings import PeerSettings, is_address
-from .words import Action, Came, Counted, Deaf, Event, Leaving, Log, Send, Tick
 
 TICK = SECOND // 10
 LATE = SECOND // 2  # a tick this late: this process stood still
--- a/thymedeck/peers/messages.py
+++ b/thymedeck/peers/messages.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from .lives import DOUBT, LINK, ONE
+from .liveness import DOUBT, LINK, ONE
 
 VERSION = 1
 DIGEST = 16
--- a/thymedeck/peers/start.py
+++ b/thymedeck/peers/start.py
@@ -6,9 +6,9 @@
 
 from ..net.system import System
 from ..net.told import Start, StartError
-from .carrier import Carrier
 from .messages import is_name
 from .settings import PeerSettings, SettingsFileError, load_peer_settings
+from .transport import Carrier
 
 if TYPE_CHECKING:
     from ..net.service import Service
--- a/thymedeck/peers/carrier.py
+++ b/thymedeck/peers/transport.py
@@ -7,12 +7,12 @@
 from ..net.loop import READ
 from ..net.system import System
 from ..net.told import server_address
-from .bounds import Window
-from .ledger import Sum
+from .counts_table import Sum
+from .events import Action, Came, Counted, Deaf, Event, Leaving, Log, Send, Tick
+from .limits import Window
+from .membership import TICK, Peers
 from .messages import LARGEST, Counts, Envelope, Unusable, server_key
-from .node import TICK, Peers
 from .settings import PeerSettings, SettingsFileError, load_keys
-from .words import Action, Came, Counted, Deaf, Event, Leaving, Log, Send, Tick
 
 if TYPE_CHECKING:
     from ..net.service import Service
