--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -155,6 +155,6 @@
         for _ in range(200):
             from_.sendto(bytes(100), carrier.sock.name)
         stage.run(SECOND // 20)
-    assert carrier.unusable["flood"] or any(e["event"] == "peers_dropped" for e in stage.log("b0"))
-    assert carrier.peers.quiet_until > stage.loop.now()
+    assert carrier.dropped["flood"] or any(e["event"] == "peers_dropped" for e in stage.log("b0"))
+    assert carrier.membership.verdicts_paused_until > stage.loop.now()
     assert max(sum(at - SECOND < one <= at for one in reads) for at in reads[::50]) <= 500 + 40
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -10,7 +10,7 @@
 from thymedeck.lab.play import Run, settings
 from thymedeck.lab.scenario import read
 from thymedeck.lab.stage import KEY, SECOND, Guest, Processes
-from thymedeck.peers.messages import Counts, Kind, Rumour, Told
+from thymedeck.peers.messages import MessageKind, Rumour, RumourStatus, SessionCounts
 from thymedeck.peers.settings import SettingsFileError
 
 FOLDER = Path(__file__).parent / "scenarios" / "lab"
@@ -58,20 +58,22 @@
         guest = Guest(stage, "g0")
         guest.newer = True  # a fleet of two versions of messages
         assert stage.run_until(lambda: all(stage.here(name) == 8 for name in names), 20 * SECOND)
-        assert stage.run_until(lambda: len(guest.peers.ledger.heard) == 8, 10 * SECOND)
+        assert stage.run_until(lambda: len(guest.peers.counts_table.received) == 8, 10 * SECOND)
         honest = list(guest.peers.peers.values())
         for turn in range(60):
             for peer in honest:
-                dead = [Rumour(Told.GONE, one.name, one.incarnation) for one in honest if one is not peer]
-                guest.say(peer, Kind.ACK, rumours=dead)
-                lie = Counts(10**9, [("m1", 10**6)])
-                guest.say(peer, Kind.COUNTS, name=honest[turn % 8].name, counts=lie)
+                dead = [
+                    Rumour(RumourStatus.DEAD, one.name, one.incarnation) for one in honest if one is not peer
+                ]
+                guest.say(peer, MessageKind.ACK, rumours=dead)
+                lie = SessionCounts(10**9, [("m1", 10**6)])
+                guest.say(peer, MessageKind.COUNTS, name=honest[turn % 8].name, counts=lie)
                 for _ in range(40):
                     guest.send_raw(peer.address, os.urandom(200))
             stage.run(SECOND // 20)
         assert not called_gone(stage, names)
         said = [entry["text"] for name in names for entry in stage.log(name) if entry["event"] == "peers"]
-        assert any("g0 is not heeded" in text for text in said)
+        assert any("g0 is ignored" in text for text in said)
         dropped = [entry for name in names for entry in stage.log(name) if entry["event"] == "peers_dropped"]
         assert sum(entry.get("key", 0) for entry in dropped) > 0
 
@@ -95,9 +97,7 @@
             lambda: (
                 any(taken in e.get("text", "") for e in stage.log("b8"))
                 or any(
-                    "two balancers call themselves b2" in e.get("text", "")
-                    for n in names
-                    for e in stage.log(n)
+                    "two balancers use the name b2" in e.get("text", "") for n in names for e in stage.log(n)
                 )
             ),
             20 * SECOND,
--- a/thymedeck/__main__.py
+++ b/thymedeck/__main__.py
@@ -41,9 +41,9 @@
         start = read_start(given.config)
         join = None
         if given.peers:
-            from .peers.start import prepared
+            from .peers.start import prepare_peers
 
-            join = prepared(given.peers, start)
+            join = prepare_peers(given.peers, start)
         if wakeup is None:
             print(f"{given.config}: ok, {len(start.told.settings.listeners)} listeners")
             return 0
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -7,8 +7,8 @@
 import os
 from collections import Counter
 
-from ...peers.membership import Peers
-from ...peers.messages import Counts, Envelope, Kind, Message, Unusable
+from ...peers.membership import Membership
+from ...peers.messages import DatagramCodec, DatagramError, Message, MessageKind, SessionCounts
 from ..measure import PATIENCE
 from ..play import settings
 from ..stage import KEY, Processes, cpu_seconds
@@ -22,9 +22,9 @@
 
 
 def kind_of(message: Message) -> str:
-    if message.kind == Kind.COUNTS:
+    if message.kind == MessageKind.COUNTS:
         return "counts" if message.counts is not None else "news"
-    return Kind(message.kind).name.lower()
+    return MessageKind(message.kind).name.lower()
 
 
 class Tally:
@@ -46,13 +46,13 @@
         return taken
 
 
-class Counted(Envelope):
+class Counted(DatagramCodec):
     def __init__(self, tally: Tally) -> None:
         super().__init__("lab", list(KEYS))
         self.tally = tally
 
-    def close(self, message: Message) -> bytes:
-        data = super().close(message)
+    def seal(self, message: Message) -> bytes:
+        data = super().seal(message)
         self.tally.note(message, len(data))
         return data
 
@@ -60,8 +60,8 @@
 class Still(Truth):
     """A balancer that holds nothing."""
 
-    def change(self) -> Counts:
-        return Counts(1, list_version=1)
+    def change(self) -> SessionCounts:
+        return SessionCounts(1, list_version=1)
 
 
 class Hollow(Talk):
@@ -70,7 +70,7 @@
         self.still = still
         super().__init__(balancers, seed, **more)
 
-    def start(self, name: str, where: str, unix_ms: int = 0) -> Peers:
+    def start(self, name: str, where: str, unix_ms: int = 0) -> Membership:
         node = super().start(name, where, unix_ms)
         self.envelopes[where] = Counted(self.tally)
         if self.still:
@@ -117,8 +117,8 @@
     talk.run(quiet * SECOND)
     spent = talk.spent - spent
     tally = talk.tally.taken()
-    sums = [node.sum(talk.now) for node in talk.alive().values()]
-    ages = sorted(one.oldest / SECOND for one in sums)
+    sums = [node.fleet_totals(talk.now) for node in talk.alive().values()]
+    ages = sorted(one.oldest_age / SECOND for one in sums)
     calm_most = talk.most()
     talk.kill(balancers // 2)
     before, since = talk.spent, talk.now
@@ -134,7 +134,7 @@
         "memory": f"{held / balancers:.0f}",
         "memory_a_peer": f"{held / balancers / max(balancers - 1, 1):.0f}",
         "oldest": f"{ages[len(ages) // 2]:.1f}",
-        "covered": f"{min(one.part for one in sums):.3f}",
+        "covered": f"{min(one.coverage for one in sums):.3f}",
         "death_half": known[0], "death_99": known[1], "death_all": known[2],
         "death_bytes_most": talk.most(),
         "death_core": f"{(talk.spent - before) / balancers / max((talk.now - since) / SECOND, 0.1):.6f}",
@@ -222,7 +222,7 @@
 def across(talk: Talk, away: set[str]) -> int:
     """Pairs of which one, beyond the cut, is still held to be here by the other."""
     return sum(
-        (peer.name in away) != (node.name in away) and not peer.gone
+        (peer.name in away) != (node.name in away) and not peer.is_dead
         for node in talk.alive().values()
         for peer in node.peers.values()
     )
@@ -230,7 +230,7 @@
 
 def missing_pairs(talk: Talk) -> int:
     alive = talk.alive().values()
-    return sum(len(alive) - 1 - sum(not peer.gone for peer in node.peers.values()) for node in alive)
+    return sum(len(alive) - 1 - sum(not peer.is_dead for peer in node.peers.values()) for node in alive)
 
 
 # Hollow against real
@@ -241,13 +241,13 @@
 
     def __init__(self, stage: Processes) -> None:
         self.tally = Tally()
-        self.envelope = Envelope("lab", [bytes.fromhex(KEY)])
+        self.envelope = DatagramCodec("lab", [bytes.fromhex(KEY)])
         self.beyond, stage.faults.fates = stage.faults.fates, self.fates
 
     def fates(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
         try:
             self.tally.note(self.envelope.open(data), len(data))
-        except Unusable:
+        except DatagramError:
             self.tally.count["unusable"] += 1
         return self.beyond(now, source, target, data)
 
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -12,9 +12,9 @@
 from ...net.loop import READ, Loop
 from ...net.system import System
 from ...net.told import server_address
-from ...peers.events import Action, Came, Counted, Send, Tick
-from ...peers.membership import TICK, Peer, Peers
-from ...peers.messages import LARGEST, Envelope, Unusable
+from ...peers.events import Action, CountsUpdated, MessageReceived, Send, Tick
+from ...peers.membership import TICK, Membership, Peer
+from ...peers.messages import MAX_DATAGRAM_BYTES, DatagramCodec, DatagramError
 from ..stage import KEY
 from ..talk import SECOND, Truth, stated
 from .control import Tally
@@ -37,8 +37,8 @@
         self.address = "{}:{}".format(*self.sock.getsockname())
         own = stated(0, advertise=self.address)
         unix_ms = loop.system.time_ns() // 1_000_000
-        self.peers = Peers(own, name, chance.getrandbits(60), loop.now(), unix_ms, size)
-        self.envelope = Envelope("lab", [bytes.fromhex(KEY)])
+        self.peers = Membership(own, name, chance.getrandbits(60), loop.now(), unix_ms, size)
+        self.envelope = DatagramCodec("lab", [bytes.fromhex(KEY)])
         self.truth = Truth(random.Random(chance.getrandbits(60)), SERVERS)
         self.tally = Tally()  # of what came from each real daemon
         self.real: frozenset[str] = frozenset()
@@ -52,25 +52,25 @@
 
     def recount(self) -> None:
         self.loop.after(SECOND, self.recount)
-        self.carry_out(self.peers.handle(self.loop.now(), Counted(self.truth.change())))
+        self.carry_out(self.peers.handle(self.loop.now(), CountsUpdated(self.truth.change())))
 
     def carry_out(self, actions: list[Action]) -> None:
         for one in actions:
             if isinstance(one, Send):
                 with contextlib.suppress(OSError):
-                    self.sock.sendto(self.envelope.close(one.message), server_address(one.address))
+                    self.sock.sendto(self.envelope.seal(one.message), server_address(one.address))
 
     def ready(self, mask: int) -> None:
         while True:
             try:
-                data = self.sock.recv(LARGEST + 1)
+                data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, ConnectionError):
                 return
-            with contextlib.suppress(Unusable):
+            with contextlib.suppress(DatagramError):
                 message = self.envelope.open(data)
                 if message.name in self.real:
                     self.tally.note(message, len(data))
-                self.carry_out(self.peers.handle(self.loop.now(), Came(message, len(data))))
+                self.carry_out(self.peers.handle(self.loop.now(), MessageReceived(message, len(data))))
 
 
 def acquaint(members: list[Member], chance: random.Random, now: int) -> None:
@@ -80,10 +80,10 @@
             if other is not member:
                 them = other.peers
                 peer = Peer(them.name, other.address, them.incarnation, now)
-                peer.token, peer.link = them.token_for(member.address), them.chain.link(0)
-                node.peers[peer.name] = node.by_key[peer.key] = peer
-                node.telling.append(peer)
-        chance.shuffle(node.telling)
+                peer.token, peer.chain_link = them.token_for(member.address), them.chain.link(0)
+                node.peers[peer.name] = node.by_chain_key[peer.chain_key] = peer
+                node.counts_queue.append(peer)
+        chance.shuffle(node.counts_queue)
 
 
 def fleet(balancers: int, real: int, seed: int) -> dict:
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -23,11 +23,19 @@
 from ..net.service import Service
 from ..net.system import System
 from ..net.told import Start, Told, server_address
-from ..peers.events import Came, Event, Send, Tick
-from ..peers.membership import TICK, Peer, Peers
-from ..peers.messages import LARGEST, VERSION, Envelope, Kind, Message, Unusable, encode
+from ..peers.events import Event, MessageReceived, Send, Tick
+from ..peers.membership import TICK, Membership, Peer
+from ..peers.messages import (
+    MAX_DATAGRAM_BYTES,
+    VERSION,
+    DatagramCodec,
+    DatagramError,
+    Message,
+    MessageKind,
+    encode,
+)
 from ..peers.settings import PeerSettings, format_address, load_peer_settings
-from ..peers.transport import Carrier
+from ..peers.transport import PeerTransport
 from .faults import Faults
 from .records import Record
 from .standins import Crowd, Door, Listed, ListService, Server
@@ -135,7 +143,7 @@
         self.world.names |= {"10.2.0.1": "list", "10.3.0.1": "clients"}
         self.machines: dict[str, Machine] = {}
         self.services: dict[str, Service] = {}
-        self.carriers: dict[str, Carrier] = {}
+        self.carriers: dict[str, PeerTransport] = {}
         self.by_host: dict[str, str] = {}
         self.hosts: dict[str, str] = {}
 
@@ -186,7 +194,7 @@
         service.loop.running = True
         self.world.loops.append(service.loop)
         if self.peers is not None:
-            self.carriers[name] = Carrier(service, self.peers_stated(name), machine, name, start.seed)
+            self.carriers[name] = PeerTransport(service, self.peers_stated(name), machine, name, start.seed)
         self.alive.add(name)
         self.record.note("started", balancer=name)
 
@@ -589,9 +597,9 @@
         stage.datagram_relays[name] = DatagramRelay(stage, name, here)
         stage.datagram_names[here] = name
         own = load_peer_settings(str(stage.write_peers(name)))
-        self.envelope = Envelope(own.fleet, [bytes.fromhex(key)])
+        self.envelope = DatagramCodec(own.fleet, [bytes.fromhex(key)])
         unix_ms = stage.system.time_ns() // 1_000_000
-        self.peers = Peers(own, name, 1, self.loop.now(), unix_ms, 1)
+        self.peers = Membership(own, name, 1, self.loop.now(), unix_ms, 1)
         self.heard: list[Message] = []
         self.newer = False  # sends what a later version might: more fields
         self.loop.watch(self.sock, 0, READ, self)
@@ -608,7 +616,7 @@
                 self.send(action.address, action.message)
 
     def send(self, to: str, message: Message) -> None:
-        data = self.envelope.close(message)
+        data = self.envelope.seal(message)
         if self.newer:
             body = msgspec.msgpack.encode([*msgspec.msgpack.decode(encode(message)), {"newer": True}])
             data = self.envelope.digest(self.envelope.keys[0], body) + body
@@ -618,7 +626,7 @@
         with contextlib.suppress(OSError):
             self.sock.sendto(data, server_address(to))
 
-    def say(self, peer: Peer, kind: Kind, name: str = "", **more: object) -> None:
+    def say(self, peer: Peer, kind: MessageKind, name: str = "", **more: object) -> None:
         """Whatever it likes, to one that it knows; also in another's name."""
         self.peers.counter += 1
         given = (self.peers.incarnation, self.peers.counter)
@@ -629,13 +637,13 @@
     def ready(self, mask: int) -> None:
         while True:
             try:
-                data = self.sock.recv(LARGEST + 1)
+                data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            with contextlib.suppress(Unusable):
+            with contextlib.suppress(DatagramError):
                 message = self.envelope.open(data)
                 self.heard.append(message)
-                self.tell(Came(message, len(data)))
+                self.tell(MessageReceived(message, len(data)))
 
     def close(self) -> None:
         self.loop.watch(self.sock, READ, 0, self)
--- a/thymedeck/lab/talk.py
+++ b/thymedeck/lab/talk.py
@@ -14,9 +14,9 @@
 
 from msgspec import Struct
 
-from ..peers.events import Came, Counted, Event, Leaving, Log, Send, Tick
-from ..peers.membership import TICK, Peer, Peers
-from ..peers.messages import Counts, Envelope, Unusable
+from ..peers.events import CountsUpdated, Event, Log, MessageReceived, Send, ShutdownStarted, Tick
+from ..peers.membership import TICK, Membership, Peer
+from ..peers.messages import DatagramCodec, DatagramError, SessionCounts
 from ..peers.settings import PeerSettings
 from .faults import Fault, Faults
 
@@ -52,7 +52,7 @@
         self.servers = servers
         self.held: Counter[int] = Counter(chance.randrange(servers) for _ in range(8))
 
-    def change(self) -> Counts:
+    def change(self) -> SessionCounts:
         if self.chance.random() < 0.5:
             self.held[self.chance.randrange(self.servers)] += 1
         elif total := self.held.total():
@@ -62,7 +62,7 @@
         kinds = Counter()
         for server, count in self.held.items():
             kinds["full" if server % 2 else "half"] += count
-        return Counts(1, sorted(kinds.items()), sorted(self.held.items()), list_version=1)
+        return SessionCounts(1, sorted(kinds.items()), sorted(self.held.items()), list_version=1)
 
 
 class Talk:
@@ -76,8 +76,8 @@
         self.servers = servers
         self.more = more
         self.join = tuple(address(at) for at in range(min(JOINED, balancers)))
-        self.nodes: dict[str, Peers] = {}
-        self.envelopes: dict[str, Envelope] = {}
+        self.nodes: dict[str, Membership] = {}
+        self.envelopes: dict[str, DatagramCodec] = {}
         self.truths: dict[str, Truth] = {}
         self.at_address: dict[str, str] = {}
         self.dead: set[str] = set()
@@ -88,14 +88,14 @@
         for at in range(balancers):
             self.start(f"b{at}", address(at))
 
-    def start(self, name: str, where: str, unix_ms: int = 0) -> Peers:
+    def start(self, name: str, where: str, unix_ms: int = 0) -> Membership:
         """Also again, under the same name."""
         here = stated(0, self.join, **(self.more | {"advertise": where}))
         unix = unix_ms or UNIX_MS + (self.now - BEGIN) // 10
-        node = Peers(here, name, self.chance.getrandbits(60), self.now, unix, self.size)
+        node = Membership(here, name, self.chance.getrandbits(60), self.now, unix, self.size)
         key = where  # two may have one name
         self.nodes[key] = node
-        self.envelopes[key] = Envelope("lab", list(KEYS))
+        self.envelopes[key] = DatagramCodec("lab", list(KEYS))
         self.truths[key] = Truth(random.Random(self.chance.getrandbits(60)), self.servers)
         self.at_address[where] = key
         self.dead.discard(key)
@@ -109,20 +109,20 @@
         for where, node in self.nodes.items():
             for other in self.nodes.values():
                 if other is not node:
-                    peer = Peer(other.name, other.stated.advertise, other.incarnation, self.now)
-                    peer.token, peer.link = other.token_for(where), other.chain.link(0)
-                    node.peers[peer.name] = node.by_key[peer.key] = peer
-                    node.telling.append(peer)
-            self.chance.shuffle(node.telling)
+                    peer = Peer(other.name, other.settings.advertise, other.incarnation, self.now)
+                    peer.token, peer.chain_link = other.token_for(where), other.chain.link(0)
+                    node.peers[peer.name] = node.by_chain_key[peer.chain_key] = peer
+                    node.counts_queue.append(peer)
+            self.chance.shuffle(node.counts_queue)
 
     def after(self, wait: int, call: Callable[[], None]) -> None:
         self.count += 1
         heapq.heappush(self.heap, (self.now + wait, self.count, call))
 
-    def node(self, at: int) -> Peers:
+    def node(self, at: int) -> Membership:
         return self.nodes[address(at)]
 
-    def alive(self) -> dict[str, Peers]:
+    def alive(self) -> dict[str, Membership]:
         return {key: node for key, node in self.nodes.items() if key not in self.dead}
 
     def kill(self, at: int) -> None:
@@ -138,24 +138,24 @@
 
     # Events
 
-    def tick(self, key: str, node: Peers) -> None:
+    def tick(self, key: str, node: Membership) -> None:
         if self.nodes[key] is node and key not in self.dead:
             self.tell(key, node, Tick())
             self.after(TICK + self.chance.randrange(LATE), lambda: self.tick(key, node))
 
-    def recount(self, key: str, node: Peers) -> None:
+    def recount(self, key: str, node: Membership) -> None:
         if self.nodes[key] is node and key not in self.dead:
-            self.tell(key, node, Counted(self.truths[key].change()))
+            self.tell(key, node, CountsUpdated(self.truths[key].change()))
             self.after(SECOND, lambda: self.recount(key, node))
 
-    def tell(self, key: str, node: Peers, event: Event) -> None:
+    def tell(self, key: str, node: Membership, event: Event) -> None:
         if self.frozen.get(key, 0) > self.now:
             self.after(self.frozen[key] - self.now, lambda: self.tell(key, node, event))
             return
         begin = time.process_time()
         actions = node.handle(self.now, event)
         out = [
-            (action.address, self.envelopes[key].close(action.message))
+            (action.address, self.envelopes[key].seal(action.message))
             for action in actions
             if isinstance(action, Send)
         ]
@@ -179,16 +179,16 @@
         begin = time.process_time()
         try:
             message = self.envelopes[key].open(data)
-        except Unusable as why:
-            node.count(str(why))
+        except DatagramError as why:
+            node.count_dropped(str(why))
             return
         finally:
             self.spent += time.process_time() - begin
-        self.tell(key, node, Came(message, len(data)))
+        self.tell(key, node, MessageReceived(message, len(data)))
 
     def leave(self, at: int) -> None:
         key = address(at)
-        self.tell(key, self.nodes[key], Leaving())
+        self.tell(key, self.nodes[key], ShutdownStarted())
 
     def run(self, span: int) -> None:
         end = self.now + span
@@ -213,14 +213,14 @@
         alive = self.alive()
         names = {node.name for node in alive.values()}
         return all(
-            {peer.name for peer in node.peers.values() if not peer.gone} == names - {node.name}
+            {peer.name for peer in node.peers.values() if not peer.is_dead} == names - {node.name}
             for node in alive.values()
         )
 
     def holders(self, name: str) -> int:
         """How many of those that run hold this one to be here."""
         return sum(
-            name in node.peers and not node.peers[name].gone
+            name in node.peers and not node.peers[name].is_dead
             for node in self.alive().values()
             if node.name != name
         )
@@ -228,7 +228,7 @@
     def falsely_gone(self) -> int:
         running = {node.name for node in self.alive().values()}
         return sum(
-            peer.gone and peer.name in running
+            peer.is_dead and peer.name in running
             for node in self.alive().values()
             for peer in node.peers.values()
         )
@@ -242,7 +242,8 @@
         alive = self.alive()
         truth = sum(self.truths[key].held.total() for key in alive)
         return [
-            abs(sum(node.sum(self.now).by_kind.values()) - truth) / max(truth, 1) for node in alive.values()
+            abs(sum(node.fleet_totals(self.now).by_kind.values()) - truth) / max(truth, 1)
+            for node in alive.values()
         ]
 
 
@@ -324,7 +325,7 @@
             sends = [one for key, sends in talk.sent.items() for one in sends[since[key] :]]
             seconds = balancers * (talk.now - begin) / SECOND
             error = statistics.median(talk.errors())
-            sums = [node.sum(talk.now) for node in talk.alive().values()]
+            sums = [node.fleet_totals(talk.now) for node in talk.alive().values()]
     talk.run(60 * SECOND)
     victim = balancers // 2
     talk.kill(victim)
@@ -341,8 +342,8 @@
     heal = talk.run_until(talk.agree, 120 * SECOND)
     return Figures(
         balancers, met / SECOND, join / SECOND, half / SECOND, everyone / SECOND, heal / SECOND, *false,
-        error=error, oldest=statistics.median(one.oldest for one in sums) / SECOND,
-        covered=min(one.part for one in sums), bytes_mean=sum(size for _, size in sends) / seconds,
+        error=error, oldest=statistics.median(one.oldest_age for one in sums) / SECOND,
+        covered=min(one.coverage for one in sums), bytes_mean=sum(size for _, size in sends) / seconds,
         bytes_most=talk.most_sent(), datagrams=len(sends) / seconds, core=part,
     )  # fmt: skip
 
--- a/thymedeck/peers/__init__.py
+++ b/thymedeck/peers/__init__.py
@@ -1,1 +1,4 @@
-"""Balancers that find one another and tell their counts (docs/peers.md); nothing is decided from it."""
+"""Gossip membership between balancers, which also share their session counts (docs/peers.md).
+
+No placement decision is made from it.
+"""
--- a/thymedeck/peers/counts_table.py
+++ b/thymedeck/peers/counts_table.py
@@ -1,46 +1,48 @@
-"""What the others have told of themselves, and sums over it that say how much of the fleet they cover."""
+"""The session counts received from the peers, and totals that state how much of the fleet they cover."""
 
 from collections import Counter
 
 from msgspec import Struct
 
-from .messages import Counts
+from .messages import SessionCounts
 
 
-class Heard(Struct):
-    """A peer's own counts as they last came."""
+class ReceivedCounts(Struct):
+    """The latest counts of one peer."""
 
-    counts: Counts
+    counts: SessionCounts
     incarnation: int
-    at: int
+    received_at: int
 
 
-class Sum(Struct, frozen=True):
-    """Never a bare figure: `covered` of `expected` balancers are in it, and the oldest entry has this age."""
+class FleetTotals(Struct, frozen=True):
+    """Totals with their coverage: `covered` of `expected` balancers are included."""
 
     by_kind: dict[str, int]
     by_server: dict[int, int]
-    beyond: int  # sessions on servers that somebody had no room to name
+    unlisted: int  # sessions on servers that their balancers had no room to list
     dials: int
     covered: int
     expected: int
-    oldest: int
+    oldest_age: int  # of the entries that are included
 
     @property
-    def part(self) -> float:
-        """Of the fleet, 0 to 1."""
+    def coverage(self) -> float:
+        """The fraction of the fleet that is included, 0 to 1."""
         return min(self.covered / max(self.expected, 1), 1.0)
 
 
-class Ledger:
+class CountsTable:
+    """This balancer's own counts and the latest ones of each peer."""
+
     def __init__(self, forget_after: int) -> None:
         self.forget_after = forget_after
-        self.own: Counts | None = None
+        self.own: SessionCounts | None = None
         self.own_at = 0
-        self.heard: dict[str, Heard] = {}
+        self.received: dict[str, ReceivedCounts] = {}
 
-    def note_own(self, now: int, counts: Counts) -> bool:
-        """Whether it differs from the last; a new version only then."""
+    def set_own(self, now: int, counts: SessionCounts) -> bool:
+        """Whether they differ from the last ones; only then do they get a new version."""
         last = self.own
         counts.version = 1 if last is None else last.version
         self.own_at = now
@@ -50,24 +52,30 @@
         self.own = counts
         return True
 
-    def take(self, now: int, name: str, incarnation: int, counts: Counts) -> bool:
-        """From its owner alone; an older one than what is held is passed over."""
-        held = self.heard.get(name)
+    def store(self, now: int, name: str, incarnation: int, counts: SessionCounts) -> bool:
+        """Stores counts that came from their owner itself; counts older than the stored ones are ignored."""
+        held = self.received.get(name)
         if held is not None and (held.incarnation, held.counts.version) > (incarnation, counts.version):
             return False
-        self.heard[name] = Heard(counts, incarnation, now)
+        self.received[name] = ReceivedCounts(counts, incarnation, now)
         return True
 
     def drop(self, name: str) -> None:
-        self.heard.pop(name, None)
-
-    def drop_old(self, now: int) -> None:
-        for name in [name for name, one in self.heard.items() if now - one.at > self.forget_after]:
-            del self.heard[name]
-
-    def sum(self, now: int, expected: int) -> Sum:
-        """Own counts among them."""
-        entries = [(one.counts, one.at) for one in self.heard.values() if now - one.at <= self.forget_after]
+        self.received.pop(name, None)
+
+    def drop_expired(self, now: int) -> None:
+        for name in [
+            name for name, one in self.received.items() if now - one.received_at > self.forget_after
+        ]:
+            del self.received[name]
+
+    def totals(self, now: int, expected: int) -> FleetTotals:
+        """Includes this balancer's own counts."""
+        entries = [
+            (one.counts, one.received_at)
+            for one in self.received.values()
+            if now - one.received_at <= self.forget_after
+        ]
         if self.own is not None:
             entries.append((self.own, self.own_at))
         by_kind: Counter[str] = Counter()
@@ -77,12 +85,12 @@
                 by_kind[kind] += count
             for server, count in counts.by_server:
                 by_server[server] += count
-        return Sum(
+        return FleetTotals(
             by_kind=dict(by_kind),
             by_server=dict(by_server),
-            beyond=sum(counts.beyond for counts, _ in entries),
+            unlisted=sum(counts.unlisted for counts, _ in entries),
             dials=sum(counts.dials for counts, _ in entries),
             covered=len(entries),
             expected=max(expected, len(entries)),
-            oldest=max((now - at for _, at in entries), default=0),
+            oldest_age=max((now - at for _, at in entries), default=0),
         )
--- a/thymedeck/peers/events.py
+++ b/thymedeck/peers/events.py
@@ -1,38 +1,38 @@
-"""What the decisions on peers are told and what they answer. Times are whole tenths of a millisecond."""
+"""Events passed to the membership logic and the actions it returns. Times are tenths of a millisecond."""
 
 from msgspec import Struct
 
-from .messages import Counts, Message
+from .messages import Message, SessionCounts
 
 # Events
 
 
 class Tick(Struct):
-    """Comes every TICK; how late it comes tells how late everything here is."""
+    """Comes every TICK; a late tick shows that this process was stalled."""
 
 
-class Came(Struct):
-    """A message whose digest was right, and where it came from."""
+class MessageReceived(Struct):
+    """A message whose digest was verified, with the size of its datagram."""
 
     message: Message
     size: int
 
 
-class Counted(Struct):
-    """The own counts as they stand; their version is given here."""
+class CountsUpdated(Struct):
+    """This balancer's current counts; their version is assigned by the receiver of the event."""
 
-    counts: Counts
+    counts: SessionCounts
 
 
-class Leaving(Struct):
+class ShutdownStarted(Struct):
     """This balancer was told to stop."""
 
 
-class Deaf(Struct):
-    """More came than may be looked at: what the peers sent may be among what was not read."""
+class ReceiveOverflow(Struct):
+    """More datagrams came than the rate limit admits, so messages of peers may be among the unread ones."""
 
 
-Event = Tick | Came | Counted | Leaving | Deaf
+Event = Tick | MessageReceived | CountsUpdated | ShutdownStarted | ReceiveOverflow
 
 # Actions
 
--- a/thymedeck/peers/limits.py
+++ b/thymedeck/peers/limits.py
@@ -1,34 +1,34 @@
-"""Bounds on what is sent and taken in: so much in any second, whatever the fleet's size. No I/O, no clock."""
+"""Rate limits over a sliding window and a replay filter. No I/O, no clock: the caller passes the time."""
 
 from collections import deque
 
 SECOND = 10_000
 
 
-class Window:
-    """What was spent within the last second, or `span`; never more than `most` in any."""
+class SlidingWindow:
+    """Amounts taken within the last `span` (one second by default); never more than `limit` in any span."""
 
-    def __init__(self, most: int, span: int = SECOND) -> None:
-        self.most = most
+    def __init__(self, limit: int, span: int = SECOND) -> None:
+        self.limit = limit
         self.span = span
-        self.spent: deque[tuple[int, int]] = deque()
+        self.entries: deque[tuple[int, int]] = deque()
         self.total = 0
 
-    def left(self, now: int) -> int:
-        while self.spent and self.spent[0][0] <= now - self.span:
-            self.total -= self.spent.popleft()[1]
-        return self.most - self.total
+    def remaining(self, now: int) -> int:
+        while self.entries and self.entries[0][0] <= now - self.span:
+            self.total -= self.entries.popleft()[1]
+        return self.limit - self.total
 
-    def take(self, now: int, amount: int) -> bool:
-        if self.left(now) < amount:
+    def try_take(self, now: int, amount: int) -> bool:
+        if self.remaining(now) < amount:
             return False
-        self.spent.append((now, amount))
+        self.entries.append((now, amount))
         self.total += amount
         return True
 
 
-class Seen:
-    """Counters of one sender that have come: each counts once, and none far behind the latest."""
+class ReplayFilter:
+    """Message counters seen from one sender: each is accepted once, and none far behind the latest."""
 
     __slots__ = ("bits", "latest")
 
@@ -38,8 +38,8 @@
         self.latest = 0
         self.bits = 0
 
-    def is_new(self, counter: int) -> bool:
-        """Notes it too."""
+    def accept(self, counter: int) -> bool:
+        """Whether the counter is new; records it."""
         if counter > self.latest:
             self.bits = (self.bits << min(counter - self.latest, self.SPAN) | 1) & ((1 << self.SPAN) - 1)
             self.latest = counter
--- a/thymedeck/peers/liveness.py
+++ b/thymedeck/peers/liveness.py
@@ -1,43 +1,44 @@
-"""Proofs of life, which only their owner can make and anybody can pass on. No I/O, no clock.
+"""Liveness proofs, which only their owner can make and anybody can relay. No I/O, no clock.
 
-Each process has a chain of digests, each the digest of the next (Lamport, 1981). Everybody gets a link of it
-from the owner itself; a later link, let go when the owner hears that it is in doubt, digests down to it.
-So hearsay that somebody lives can be held true, however many hands it went through.
+Each process has a hash chain, as in Lamport's one-time passwords (1981): each link is the digest of the one
+released after it. A peer gets a link from the owner itself. When the owner hears that it is suspected, it
+releases the next link, and that hashes to the one that the peer already has. So a claim that somebody is
+alive can be verified, however many peers have relayed it.
 """
 
 import hashlib
 
-LINK = 8
-KEY = 4
-ONE = KEY + 1 + LINK  # bytes of one proof: whose, the last byte of its number, the link
-DOUBT = KEY + 1  # bytes of a doubt: whose, the last byte of the number it was last known by
-BEHIND = 128  # links at the most between what is known and what comes; further back is old
-LENGTH = 4096
+LINK_BYTES = 8
+CHAIN_KEY_BYTES = 4
+PROOF_BYTES = CHAIN_KEY_BYTES + 1 + LINK_BYTES  # chain key, last byte of the link's number, link
+PROOF_REQUEST_BYTES = CHAIN_KEY_BYTES + 1  # chain key, last byte of the last known link's number
+MAX_STEPS = 128  # links at most between the known one and a new one; a larger distance means an old link
+CHAIN_LENGTH = 4096
 
 
-def step(link: bytes) -> bytes:
-    return hashlib.blake2b(link, digest_size=LINK, person=b"life").digest()
+def next_digest(link: bytes) -> bytes:
+    return hashlib.blake2b(link, digest_size=LINK_BYTES, person=b"life").digest()
 
 
-def key_of(name: str, process: int) -> bytes:
-    """Of one process of a balancer: a proof under another key is of another chain."""
-    return hashlib.blake2b(f"{process} {name}".encode(), digest_size=KEY).digest()
+def chain_key(name: str, process: int) -> bytes:
+    """The key of one process of a balancer: a proof under another key is of another chain."""
+    return hashlib.blake2b(f"{process} {name}".encode(), digest_size=CHAIN_KEY_BYTES).digest()
 
 
-def makes(link: bytes, steps: int, earlier: bytes) -> bool:
-    """Whether the earlier link follows from this one by so many digests."""
+def verify_link(link: bytes, steps: int, earlier: bytes) -> bool:
+    """Whether the link hashes to the earlier one in so many steps."""
     for _ in range(steps):
-        link = step(link)
+        link = next_digest(link)
     return link == earlier
 
 
-class Chain:
-    """The links of this process, the last made first."""
+class HashChain:
+    """The links of this process, in the order in which they are released."""
 
     def __init__(self, secret: bytes) -> None:
-        links = [step(secret)]
-        for _ in range(LENGTH):
-            links.append(step(links[-1]))
+        links = [next_digest(secret)]
+        for _ in range(CHAIN_LENGTH):
+            links.append(next_digest(links[-1]))
         links.reverse()
         self.links = links
 
@@ -46,19 +47,20 @@
         return self.links[number]
 
 
-def doubt(key: bytes, number: int) -> bytes:
+def proof_request(key: bytes, number: int) -> bytes:
     return key + bytes((number % 256,))
 
 
-def proof(key: bytes, number: int, link: bytes) -> bytes:
-    return doubt(key, number) + link
+def liveness_proof(key: bytes, number: int, link: bytes) -> bytes:
+    return proof_request(key, number) + link
 
 
-def ahead(last_byte: int, number: int) -> int:
-    """How far the number that ends so is ahead of this one; none if it is not, or lies further back."""
+def steps_ahead(last_byte: int, number: int) -> int:
+    """How far the link whose number ends in `last_byte` is ahead of `number`; 0 if it is not."""
     steps = (last_byte - number) % 256
-    return steps if steps <= BEHIND else 0
+    return steps if steps <= MAX_STEPS else 0
 
 
-def split(data: bytes, size: int) -> list[bytes]:
+def split_fixed(data: bytes, size: int) -> list[bytes]:
+    """The data in pieces of `size` bytes."""
     return [data[at : at + size] for at in range(0, len(data), size)]
--- a/thymedeck/peers/membership.py
+++ b/thymedeck/peers/membership.py
@@ -1,9 +1,9 @@
-"""Who is there and what they tell: every decision on peers; read it top to bottom.
+"""Gossip membership in the manner of SWIM: which balancers are alive, and what they report of themselves.
 
-Make one Peers and call handle(now, event) for whatever happens; carry out the actions it returns. `now` is a
-clock in tenths of a millisecond that never goes back. Hearsay is held true only where it proves itself
-(docs/peers.md): a peer is here once it has sent back what was sent to its address, and gone once it has left
-this balancer's own looks unanswered and no proof of its life has come within the time that one takes.
+Make one Membership and call handle(now, event) for each event; perform the actions that it returns. `now` is
+a monotonic clock in tenths of a millisecond. A rumour is believed only with a proof (docs/peers.md): a peer
+is alive once it has sent back the token that was sent to its address, and dead once this balancer's own
+probes of it have failed and no liveness proof has arrived within the suspicion timeout.
 """
 
 import random
@@ -11,986 +11,1140 @@
 from collections.abc import Callable, Sequence
 from math import ceil, log2
 
-from .counts_table import Ledger, Sum
-from .events import Action, Came, Counted, Deaf, Event, Leaving, Log, Send, Tick
-from .limits import SECOND, Seen, Window
-from .liveness import DOUBT, KEY, LENGTH, ONE, Chain, ahead, doubt, key_of, makes, proof, split
+from .counts_table import CountsTable, FleetTotals
+from .events import (
+    Action,
+    CountsUpdated,
+    Event,
+    Log,
+    MessageReceived,
+    ReceiveOverflow,
+    Send,
+    ShutdownStarted,
+    Tick,
+)
+from .limits import SECOND, ReplayFilter, SlidingWindow
+from .liveness import (
+    CHAIN_KEY_BYTES,
+    CHAIN_LENGTH,
+    PROOF_BYTES,
+    PROOF_REQUEST_BYTES,
+    HashChain,
+    chain_key,
+    liveness_proof,
+    proof_request,
+    split_fixed,
+    steps_ahead,
+    verify_link,
+)
 from .messages import (
-    DIGEST,
-    MOST_RUMOURS,
+    DIGEST_BYTES,
+    MAX_RUMOURS,
     VERSION,
-    Kind,
     Message,
+    MessageKind,
     Rumour,
-    Told,
+    RumourStatus,
     encode,
     short_digest,
 )
 from .settings import PeerSettings, is_address
 
+# Times are in tenths of a millisecond unless the name tells another unit.
 TICK = SECOND // 10
-LATE = SECOND // 2  # a tick this late: this process stood still
-QUIET = 2 * SECOND  # after that, judgement rests so long
-START_MS = 100  # a process that starts later by this is told from the one before
-STEP = 100_000  # incarnations of one process, of which each refutation takes the next
-REFUTE_EVERY = SECOND
-HELPERS = 3  # that are asked to look for this balancer
-LOOKS = 4  # that fail where nobody else suspects; one where others do
-VOICES = 2  # others that suspect, for this to count
-PATIENCE = SECOND * 3 // 20  # for a proof of life, times the fleet's logarithm: to the one in doubt and back
-LOOK_FROM, LOOK_TO = 0.25, 0.5  # of that time, when a look is made for hearsay: most proofs have come by then
-MANY = 3  # called gone within MANY_WITHIN: whoever loses so many is lost by them, and proves its life at once
-MANY_WITHIN = 5 * SECOND
-SURE_EVERY = 10 * SECOND
-ALIVE_WITHIN = 3 * SECOND  # heard so lately, somebody still has its name
-LOSSES = 16  # looks remembered, for how much is lost on the way
-LOSS_WEIGHT = 16  # more looks that have to fail, for each part of them that was lost
-MOST_WRONG = 6  # suspicions, or proofs that prove nothing, of one voice,
-WRONG_WITHIN = 10 * SECOND  # within this, for it not to be heeded
-HEED_AGAIN = 60 * SECOND
-HEARSAY_LOOKS = 10  # a second
-MEET_SPREAD = SECOND // 20  # the same for those who want to meet somebody new
-AGAIN_SPREAD = SECOND // 200  # the same between looks of one that failed
-REMEMBER = 600 * SECOND  # one that is gone is still looked at now and then
-JOIN_EVERY = SECOND
-EAGER = 10 * SECOND  # after the start: those of the list not met yet are asked as if nobody was here
-REJOIN_EVERY = 30 * SECOND  # addresses of the file that none here has
-TRIES = 4  # pings to somebody not known
-USUAL = 200  # bytes of a datagram, up to which rumours go along
-TOLD = 3  # times that each tells a rumour: more than one that hears it looks, and tells it too
-LIFE_TOLD = 5  # the same of a proof of life
-DOUBTS_ASKED = 20  # with a look, of those that are not known to live
-DOUBTS_MOST = 60  # with the look at one that has come back: others will have come back with it
-LIVES_ANSWERED = 60
-AT_ONCE = 3  # peers that are told of a doubt or a proof of life in datagrams of their own
-URGENT = 3  # such datagrams a second
-LIVES_ROOM = 130  # bytes of a datagram, for proofs that are passed on
-NEWS_ROOM = 390  # the same of a datagram that is sent for them
-SUSPECT_TOLD = 2  # the same of a suspicion, times the fleet's logarithm: few have it, and all wait for it
-FEW = 50  # bytes of rumours, whatever the datagram's size
-MOST_KINDS = 4  # of machine, told of
-LARGEST_COUNTS = 900  # bytes, which leaves room for the longest names beside
-COUNTS_LEAST = SECOND  # between two tellings to the same peer
-COUNTS_AGAIN = 10 * SECOND  # what has not changed is told again after this: the last may be lost
-KEPT = 0.2  # of what may be sent, from the own counts, so that looks and answers find room
-KEPT_WHEN_BUSY = 0.85  # the same while there are some to be met, or more than so many to be looked at
-BUSY = 3
-KEPT_FOR_NEWS = 0.15  # from all of them, for doubts and proofs of life
-KEPT_FROM_MEETING = 0.4  # and from those questions, for answers to them
-NAMED_BESIDES = 2  # of those here, in a message that has no news to tell
-STALE = SECOND // 2  # what has waited longer is not sent any more
-STALE_QUESTION = 3 * SECOND  # the same of an answer that asks back, which nobody's look waits for
-MOST_WAITING = 512
-MOST_CANDIDATES = 256
-FROM_ONE = 40  # messages a second taken of one peer
-UNKNOWN_PART = 0.4  # of what may be taken in, for those not known
-DAY = 86_400_000  # an incarnation more than a day ahead of the own clock, in milliseconds, is none
-LOG_PAUSE = 10 * SECOND
-NAMED = 3  # peers named in one line of the log
-NONCE = 48  # bits
+STALL_THRESHOLD = SECOND // 2  # a tick that is this late shows that this process was stalled
+VERDICT_PAUSE = 2 * SECOND  # for so long after a stall, failed probes of peers don't count
+PROCESS_START_MS = 100  # processes of one name that start this far apart have different incarnations
+PROCESS_SPAN = 100_000  # incarnations of one process, of which each refutation takes the next
+REFUTE_INTERVAL = SECOND
+INDIRECT_PROBES = 3  # peers asked for an indirect probe
+FAILURES_ALONE = 4  # failed probes required where nobody else suspects the peer; one where others do
+MIN_SUSPECTERS = 2  # other peers that have to suspect it for their suspicions to count
+SUSPICION_TIMEOUT_PER_ROUND = SECOND * 3 // 20  # of gossip: a suspicion and its refutation have to spread
+# When a rumour is checked by a probe, as parts of the suspicion timeout: by then most refutations have come.
+RUMOUR_PROBE_FROM, RUMOUR_PROBE_TO = 0.25, 0.5
+# After so many verdicts of death within this time, this balancer itself is probably the one cut off, and the
+# others hold it dead: it then releases a liveness proof unasked.
+MANY_DEATHS = 3
+MANY_DEATHS_WITHIN = 5 * SECOND
+SELF_PROOF_INTERVAL = 10 * SECOND
+NAME_HELD_FOR = 3 * SECOND  # a peer heard from within this time keeps its name against a newcomer
+LOSS_SAMPLES = 16  # recent probes from which the rate of loss is estimated
+LOSS_WEIGHT = 16  # further failed probes required, times the rate of loss
+# A peer that sends so many wrong suspicions or invalid liveness proofs within this time is ignored a while.
+MAX_FALSE_CLAIMS = 6
+FALSE_CLAIMS_WITHIN = 10 * SECOND
+IGNORE_FOR = 60 * SECOND
+RUMOUR_PROBES_PER_SECOND = 10
+MEETING_SPREAD_PER_PEER = SECOND // 20  # random delay before a new balancer is contacted, times the peers
+REPROBE_SPREAD_PER_PEER = SECOND // 200  # random delay between probes of one that failed, times the peers
+FORGET_DEAD_AFTER = 600 * SECOND  # a dead peer is probed now and then until this
+JOIN_INTERVAL = SECOND
+EAGER_JOIN_FOR = 10 * SECOND  # after the start, the join list is contacted even if some peers are known
+REJOIN_INTERVAL = 30 * SECOND  # for addresses of the join list that no known peer has
+MAX_CANDIDATE_PINGS = 4
+TYPICAL_DATAGRAM_BYTES = 200  # rumours are added up to this size
+RUMOUR_REPEATS = 3  # more than one receiver checks a rumour and repeats it in turn
+PROOF_REPEATS = 5
+REQUESTS_PER_PROBE = 20  # proof requests added to a probe
+MAX_PROOF_REQUESTS = 60  # in a probe of a peer that has come back: others may have come back with it
+MAX_PROOFS_ANSWERED = 60
+URGENT_FANOUT = 3  # peers that get a suspicion or a liveness proof in datagrams of their own
+URGENT_PER_SECOND = 3
+RELAYED_PROOF_BYTES = 130  # of a datagram, for liveness proofs that are relayed
+URGENT_PROOF_BYTES = 390  # the same of an urgent datagram
+SUSPECT_REPEATS_PER_ROUND = 2  # of gossip: few peers find a suspicion by themselves, and all wait for it
+MIN_RUMOUR_BYTES = 50  # for rumours, even in a datagram above the typical size
+MAX_KINDS = 4  # kinds of machine in this balancer's own counts
+MAX_COUNTS_BYTES = 900  # leaves room for the longest names in the same datagram
+COUNTS_MIN_INTERVAL = SECOND  # between counts sent to the same peer
+COUNTS_REPEAT_INTERVAL = 10 * SECOND  # unchanged counts are sent again after this: the last may be lost
+# Parts of the send limit. The counts leave this much of it to probes and answers:
+COUNTS_RESERVE = 0.2
+COUNTS_RESERVE_WHEN_BUSY = 0.85  # while there are candidates, or more suspects than MANY_SUSPECTS
+MANY_SUSPECTS = 3
+URGENT_RESERVE = 0.15  # all other datagrams leave this to suspicions and liveness proofs
+MEETING_RESERVE = 0.4  # pings of candidates leave this to the answers to them
+RANDOM_RUMOURS = 2  # known peers named in a message that has no news to carry
+MAX_QUEUE_AGE = SECOND // 2  # a message that has waited longer is not sent any more
+MAX_CHALLENGE_QUEUE_AGE = 3 * SECOND  # the same of an answer with a challenge, which no probe waits for
+MAX_SEND_QUEUE = 512
+MAX_CANDIDATES = 256
+MAX_MESSAGES_PER_PEER = 40  # received in a second
+UNKNOWN_SENDER_SHARE = 0.4  # of the receive limit, for senders that are not peers
+DAY_MS = 86_400_000  # an incarnation more than a day ahead of the local clock is rejected
+LOG_INTERVAL = 10 * SECOND
+NAMES_PER_LOG_LINE = 3
+NONCE_BITS = 48
 
 
 class Peer:
-    """Another balancer, as this one alone knows it."""
+    """Another balancer, as this balancer sees it."""
 
     __slots__ = (
-        "address", "began", "due", "failed", "from_it", "gone", "gone_at", "heard_at", "incarnation",
-        "key", "link", "looked_at", "name", "nonce", "number", "seen", "since", "suspect", "through", "token",
-        "told_at", "told_version", "voices",
+        "address", "chain_key", "chain_link", "counts_sent_at", "counts_sent_version", "dead_since",
+        "failed_probes", "has_indirect_probes", "incarnation", "is_dead", "is_suspect", "last_heard_at",
+        "last_probed_at", "link_number", "name", "nonce", "probe_due_at", "probe_started_at",
+        "receive_limit", "replay_filter", "suspected_by", "suspected_since", "token",
     )  # fmt: skip
 
     def __init__(self, name: str, address: str, incarnation: int, now: int) -> None:
         self.name = name
         self.address = address
         self.incarnation = incarnation
-        self.key = key_of(name, incarnation // STEP)
-        self.number = 0  # of the link
-        self.link = b""  # the last that is known of its chain
-        self.token = b""  # what it gave us, sent back with every message to it
-        self.seen = Seen()
-        self.from_it = Window(FROM_ONE)
-        self.heard_at = now
-        self.looked_at = now
-        self.gone = False
-        self.gone_at = 0
-        self.suspect = False
-        self.failed = 0  # looks at it that failed, one after the other
-        self.voices: set[str] = set()  # others that suspect it
-        self.nonce = 0  # of the look under way; 0: none
-        self.began = 0
-        self.through = False  # others have been asked in this look
-        self.due = -1  # when a look is wanted; -1: none
-        self.since = -1  # when it came in doubt; -1: it is not
-        self.told_at = -COUNTS_AGAIN
-        self.told_version = 0
+        self.chain_key = chain_key(name, incarnation // PROCESS_SPAN)
+        self.link_number = 0
+        self.chain_link = b""  # the latest known link of its hash chain
+        self.token = b""  # the token that it issued, sent back with every message to it
+        self.replay_filter = ReplayFilter()
+        self.receive_limit = SlidingWindow(MAX_MESSAGES_PER_PEER)
+        self.last_heard_at = now
+        self.last_probed_at = now
+        self.is_dead = False
+        self.dead_since = 0
+        self.is_suspect = False  # this balancer's own probes failed
+        self.failed_probes = 0  # in a row
+        self.suspected_by: set[str] = set()  # names of other peers
+        self.nonce = 0  # of the probe in flight; 0: none
+        self.probe_started_at = 0
+        self.has_indirect_probes = False  # indirect probes were requested for the probe in flight
+        self.probe_due_at = -1  # -1: no probe is scheduled
+        self.suspected_since = -1  # by this balancer or by a rumour; -1: not suspected
+        self.counts_sent_at = -COUNTS_REPEAT_INTERVAL
+        self.counts_sent_version = 0
 
 
 class Candidate:
-    """An address at which somebody is said to be, who has not yet shown to hear there."""
+    """An address under which a balancer is said to be, and which has not yet proved to be reached there."""
 
-    __slots__ = ("due", "nonce", "tries")
+    __slots__ = ("attempts", "due_at", "nonce")
 
-    def __init__(self, due: int) -> None:
-        self.due = due
+    def __init__(self, due_at: int) -> None:
+        self.due_at = due_at
         self.nonce = 0
-        self.tries = 0
+        self.attempts = 0
 
 
-class Asked:
-    """A look that this balancer makes for another."""
+class IndirectProbe:
+    """A probe that this balancer makes for another."""
 
-    __slots__ = ("by", "name", "nonce", "since")
+    __slots__ = ("nonce", "requester", "started_at", "target")
 
-    def __init__(self, by: str, name: str, nonce: int, since: int) -> None:
-        self.by = by
-        self.name = name
+    def __init__(self, requester: str, target: str, nonce: int, started_at: int) -> None:
+        self.requester = requester
+        self.target = target
         self.nonce = nonce
-        self.since = since
+        self.started_at = started_at
 
 
-class Peers:
+class Membership:
+    """All state and decisions; it does no I/O and reads no clock."""
+
     def __init__(
-        self, stated: PeerSettings, name: str, seed: int, now: int, unix_ms: int, expected: int
+        self, settings: PeerSettings, name: str, seed: int, now: int, unix_ms: int, expected_size: int
     ) -> None:
-        """`unix_ms` is the wall clock now; `expected` the balancers of the fleet as far as it is stated."""
-        self.stated = stated
+        """`unix_ms` is the wall clock now; `expected_size` the size of the fleet as the settings state it."""
+        self.settings = settings
         self.name = name
-        self.expected = expected
-        self.start = now
-        self.unix_ms = unix_ms
-        self.incarnation = self.incarnation_at(unix_ms)  # a restart comes later and so is told from this
-        self.refuted_at = now - REFUTE_EVERY
+        self.expected_size = expected_size
+        self.started_at = now
+        self.start_unix_ms = unix_ms
+        self.incarnation = self.incarnation_at(unix_ms)  # a later process gets a higher one
+        self.refuted_at = now - REFUTE_INTERVAL
         self.counter = 0
-        chance = random.Random(seed)
-        self.uniform = chance.uniform
-        self.sample = chance.sample
-        self.bits = chance.getrandbits
-        self.secret = chance.randbytes(32)
-        self.randbytes = chance.randbytes
-        self.chain = Chain(self.randbytes(32))
-        self.key = key_of(name, self.incarnation // STEP)
-        self.sure_at = now - SURE_EVERY
-        self.later_at = now - HEED_AGAIN
+        rng = random.Random(seed)
+        self.uniform = rng.uniform
+        self.sample = rng.sample
+        self.random_bits = rng.getrandbits
+        self.secret = rng.randbytes(32)
+        self.randbytes = rng.randbytes
+        self.chain = HashChain(self.randbytes(32))
+        self.chain_key = chain_key(name, self.incarnation // PROCESS_SPAN)
+        self.self_proof_at = now - SELF_PROOF_INTERVAL
+        self.process_raised_at = now - IGNORE_FOR
         self.now = now
-        self.out: list[Action] = []
+        self.actions: list[Action] = []
         self.peers: dict[str, Peer] = {}
-        self.by_key: dict[bytes, Peer] = {}
-        # Those at which a look is under way or wanted, and those of which a proof of life may still come.
-        self.looking: dict[str, Peer] = {}
-        self.telling: deque[Peer] = deque()  # in the order in which they are told the own counts next
+        self.by_chain_key: dict[bytes, Peer] = {}
+        # Peers with a probe in flight or scheduled, and suspects that may still send a liveness proof.
+        self.probing: dict[str, Peer] = {}
+        self.counts_queue: deque[Peer] = deque()  # in the order in which they get the own counts next
         self.candidates: dict[str, Candidate] = {}  # by address
-        self.ledger = Ledger(stated.forget_after)
-        # By whom they are of, and how often each is still to be told.
+        self.counts_table = CountsTable(settings.forget_after)
+        # By the name that they are about, with the number of times that each is still to be sent.
         self.rumours: dict[str, tuple[Rumour, int]] = {}
-        self.lives: dict[bytes, int] = {}  # proofs to be passed on, by key: how often still
-        self.asked: dict[int, Asked] = {}
-        self.wrongs: dict[str, Window] = {}  # by voice, the last ones
-        self.lost_many = Window(MANY, MANY_WITHIN)
-        self.urgent = Window(URGENT)
-        self.unheeded: dict[str, int] = {}  # voices, and until when
-        self.hearsay = Window(HEARSAY_LOOKS)
-        self.lost: deque[bool] = deque(maxlen=LOSSES)
-        self.waiting: deque[tuple[int, str, Kind, bytes, dict]] = deque()
-        self.sent = Window(stated.send_most)
-        self.unknown = Window(max(int(stated.take_most * UNKNOWN_PART), 1))
-        self.ticked_at = now
-        self.quiet_until = now
-        self.probe_at = now + int(self.uniform(0, stated.period))
-        self.join_at = now
-        self.joins = 0
-        self.rejoin_at = now + REJOIN_EVERY
-        self.draining = False
-        self.came: list[str] = []  # and the next: since the last line of the log
-        self.went: list[str] = []
-        self.said_at = now
-        self.logged: dict[str, int] = {}
-        self.counted: Counter[str] = Counter()  # what counted for nothing, and why
+        self.proof_repeats: dict[bytes, int] = {}  # liveness proofs to relay, by chain key: times left
+        self.indirect_probes: dict[int, IndirectProbe] = {}
+        self.false_claims: dict[str, SlidingWindow] = {}  # by the peer that made them
+        self.recent_deaths = SlidingWindow(MANY_DEATHS, MANY_DEATHS_WITHIN)
+        self.urgent_limit = SlidingWindow(URGENT_PER_SECOND)
+        self.ignored_until: dict[str, int] = {}  # by peer
+        self.rumour_probe_limit = SlidingWindow(RUMOUR_PROBES_PER_SECOND)
+        self.probe_losses: deque[bool] = deque(maxlen=LOSS_SAMPLES)
+        self.send_queue: deque[tuple[int, str, MessageKind, bytes, dict]] = deque()
+        self.send_limit = SlidingWindow(settings.send_most)
+        self.unknown_sender_limit = SlidingWindow(max(int(settings.take_most * UNKNOWN_SENDER_SHARE), 1))
+        self.last_tick_at = now
+        self.verdicts_paused_until = now
+        self.next_probe_at = now + int(self.uniform(0, settings.period))
+        self.next_join_at = now
+        self.join_attempts = 0
+        self.next_rejoin_at = now + REJOIN_INTERVAL
+        self.is_draining = False
+        self.newly_alive: list[str] = []  # this and the next: since the last line of the log
+        self.newly_dead: list[str] = []
+        self.changes_logged_at = now
+        self.logged_at: dict[str, int] = {}  # by kind of line
+        self.dropped: Counter[str] = Counter()  # messages, proofs and rumours that were not used, by reason
         self.handlers: dict[type, Callable[[Event], None]] = {
             Tick: self.on_tick,
-            Came: self.on_came,
-            Counted: self.on_counted,
-            Leaving: self.on_leaving,
-            Deaf: self.on_deaf,
+            MessageReceived: self.on_message,
+            CountsUpdated: self.on_counts_updated,
+            ShutdownStarted: self.on_shutdown_started,
+            ReceiveOverflow: self.on_receive_overflow,
         }
 
     def handle(self, now: int, event: Event) -> list[Action]:
         self.now = now
-        self.out = []
+        self.actions = []
         self.handlers[type(event)](event)
         self.flush()
-        return self.out
+        return self.actions
 
-    def here(self) -> list[Peer]:
-        """Those that are held to be there, suspected ones among them."""
-        return [peer for peer in self.peers.values() if not peer.gone]
+    def alive_peers(self) -> list[Peer]:
+        """Peers not held dead, suspects among them."""
+        return [peer for peer in self.peers.values() if not peer.is_dead]
 
-    def sum(self, now: int) -> Sum:
-        """Of the whole fleet, with the part of it that is covered and the age of the oldest entry."""
-        return self.ledger.sum(now, max(self.expected, 1 + len(self.here())))
+    def fleet_totals(self, now: int) -> FleetTotals:
+        """Totals of the whole fleet, with their coverage and the age of the oldest entry."""
+        return self.counts_table.totals(now, max(self.expected_size, 1 + len(self.alive_peers())))
 
-    def unix_now(self) -> int:
-        return self.unix_ms + (self.now - self.start) // 10
+    def unix_now_ms(self) -> int:
+        return self.start_unix_ms + (self.now - self.started_at) // 10
 
     @staticmethod
     def incarnation_at(unix_ms: int) -> int:
-        return max(unix_ms // START_MS, 1) * STEP
+        return max(unix_ms // PROCESS_START_MS, 1) * PROCESS_SPAN
 
-    # What is sent
+    # Sending
 
     def token_for(self, address: str) -> bytes:
-        """Only who hears under this address can send it back; nothing is kept for it."""
+        """A token that only a receiver at this address can send back. No state is kept for it."""
         return short_digest(self.secret, address.encode())
 
-    def send(self, to: str, kind: Kind, token: bytes, **more: object) -> None:
-        if len(self.waiting) >= MOST_WAITING:
-            self.waiting.popleft()
-            self.count("no room to send")
-        self.waiting.append((self.now, to, kind, token, more))
+    def enqueue(self, destination: str, kind: MessageKind, token: bytes, **fields: object) -> None:
+        if len(self.send_queue) >= MAX_SEND_QUEUE:
+            self.send_queue.popleft()
+            self.count_dropped("no room to send")
+        self.send_queue.append((self.now, destination, kind, token, fields))
 
     def flush(self) -> None:
-        """Answers first, in order; what they and looks leave of a second's bytes goes to the own counts.
+        """Sends the queued answers in order; the own counts get what answers and probes leave of the limit.
 
-        All of them leave some: guards against one that answers so many that it can't prove that it lives.
+        All of them leave a reserve, so that a balancer with many answers to send can still prove to be alive.
         """
-        while self.waiting:
-            since, address, kind, token, more = self.waiting[0]
-            if self.now - since > (STALE if not more.get("question") else STALE_QUESTION):
-                self.waiting.popleft()
-                self.count("sent too late")
+        while self.send_queue:
+            queued_at, address, kind, token, fields = self.send_queue[0]
+            if self.now - queued_at > (
+                MAX_QUEUE_AGE if not fields.get("challenge") else MAX_CHALLENGE_QUEUE_AGE
+            ):
+                self.send_queue.popleft()
+                self.count_dropped("sent too late")
                 continue
-            if not self.dispatch(address, kind, token, more, self.room()):
+            if not self.transmit(address, kind, token, fields, self.available_bytes()):
                 return
-            self.waiting.popleft()
-        self.tell_counts()
+            self.send_queue.popleft()
+        self.send_counts()
 
-    def room(self) -> int:
-        return self.sent.left(self.now) - int(KEPT_FOR_NEWS * self.stated.send_most)
+    def available_bytes(self) -> int:
+        return self.send_limit.remaining(self.now) - int(URGENT_RESERVE * self.settings.send_most)
 
-    def dispatch(self, address: str, kind: Kind, token: bytes, more: dict, room: int) -> bool:
-        """Whether there was room for it; rumours go along in what is left of the datagram's usual size."""
-        message = Message(VERSION, kind, self.name, self.incarnation, self.counter + 1, token=token, **more)
+    def transmit(self, address: str, kind: MessageKind, token: bytes, fields: dict, available: int) -> bool:
+        """Whether the message fitted in the available bytes; proofs and rumours fill up the datagram."""
+        message = Message(VERSION, kind, self.name, self.incarnation, self.counter + 1, token=token, **fields)
         if message.address:
-            message.link = self.chain.link(self.incarnation % STEP)
-        size = DIGEST + len(encode(message))
-        if size > room:
+            message.chain_link = self.chain.link(self.incarnation % PROCESS_SPAN)
+        size = DIGEST_BYTES + len(encode(message))
+        if size > available:
             return False
         self.counter += 1
-        news = kind == Kind.COUNTS and message.counts is None
-        size += self.add_lives(message, min(room - size, NEWS_ROOM if news else LIVES_ROOM))
-        size += self.add_rumours(message, min(room - size, FEW if self.is_busy() else max(USUAL - size, FEW)))
-        self.sent.take(self.now, size)
-        self.out.append(Send(address, message))
+        is_urgent = kind == MessageKind.COUNTS and message.counts is None
+        size += self.add_liveness_proofs(
+            message, min(available - size, URGENT_PROOF_BYTES if is_urgent else RELAYED_PROOF_BYTES)
+        )
+        size += self.add_rumours(
+            message,
+            min(
+                available - size,
+                MIN_RUMOUR_BYTES if self.is_busy() else max(TYPICAL_DATAGRAM_BYTES - size, MIN_RUMOUR_BYTES),
+            ),
+        )
+        self.send_limit.try_take(self.now, size)
+        self.actions.append(Send(address, message))
         return True
 
-    def ask(self, address: str, kind: Kind, token: bytes, more: dict, keep: float = 0.0) -> bool:
-        """Whether it went out. Never before the answers that wait, and never late: a look begins with it."""
-        room = self.room() - int(keep * self.stated.send_most)
-        return not self.waiting and self.dispatch(address, kind, token, more, room)
+    def transmit_probe(
+        self, address: str, kind: MessageKind, token: bytes, fields: dict, reserve: float = 0.0
+    ) -> bool:
+        """Sends now or not at all; whether it was sent.
+
+        Queued answers go first. A probe is never delayed, as its answer is timed from here.
+        """
+        available = self.available_bytes() - int(reserve * self.settings.send_most)
+        return not self.send_queue and self.transmit(address, kind, token, fields, available)
 
     def is_busy(self) -> bool:
-        return bool(self.candidates) or self.many_suspect()
+        return bool(self.candidates) or self.has_many_suspects()
 
-    def many_suspect(self) -> bool:
-        return sum(peer.suspect for peer in self.looking.values()) > BUSY
+    def has_many_suspects(self) -> bool:
+        return sum(peer.is_suspect for peer in self.probing.values()) > MANY_SUSPECTS
 
-    def add_rumours(self, message: Message, room: int) -> int:
-        """The bytes added. Newest first; each is told a few times by all who found it to be so.
+    def add_rumours(self, message: Message, available: int) -> int:
+        """Returns the bytes added. The newest come first; each is sent a few times by all who verified it.
 
-        Some that are here are named besides, by chance: guards against two that missed each other's arrival.
+        Without news, some random alive peers are named, so that two balancers that missed each other's
+        arrival meet in the end.
         """
         added = 0
-        for name, (rumour, times) in list(self.rumours.items())[: -MOST_RUMOURS - 1 : -1]:
+        for name, (rumour, times_left) in list(self.rumours.items())[: -MAX_RUMOURS - 1 : -1]:
             size = len(encode(rumour))
-            if added + size + 2 > room:
+            if added + size + 2 > available:
                 break
             message.rumours = [*message.rumours, rumour]
             added += size + 2 * (not added)
             del self.rumours[name]
-            if times > 1:
-                self.rumours[name] = (rumour, times - 1)
+            if times_left > 1:
+                self.rumours[name] = (rumour, times_left - 1)
         if message.rumours:
             return added
-        for name in self.sample(list(self.peers), min(NAMED_BESIDES, len(self.peers))):
+        for name in self.sample(list(self.peers), min(RANDOM_RUMOURS, len(self.peers))):
             peer = self.peers[name]
-            rumour = Rumour(Told.HERE, name, peer.incarnation, peer.address)
+            rumour = Rumour(RumourStatus.ALIVE, name, peer.incarnation, peer.address)
             size = len(encode(rumour))
-            if not (peer.gone or peer.suspect) and added + size + 2 <= room:
+            if not (peer.is_dead or peer.is_suspect) and added + size + 2 <= available:
                 message.rumours = [*message.rumours, rumour]
                 added += size + 2 * (not added)
         return added
 
-    def add_lives(self, message: Message, room: int) -> int:
-        """The bytes added, at the most: proofs of life that are to be passed on, newest first."""
-        count = min(max(room - 2, 0) // ONE, len(self.lives))
-        before = len(message.lives)
-        for key in list(self.lives)[: -count - 1 : -1]:
-            times = self.lives.pop(key)
-            message.lives += self.proof_of(key)
-            if times > 1:
-                self.lives[key] = times - 1
-        return len(message.lives) - before + (1 if len(message.lives) > 255 else 0)
-
-    def proof_of(self, key: bytes) -> bytes:
-        """The last that is known; nothing where none is."""
-        if key == self.key:
-            number = self.incarnation % STEP
-            return proof(key, number, self.chain.link(number))
-        peer = self.by_key.get(key)
-        return proof(key, peer.number, peer.link) if peer is not None and peer.link else b""
-
-    def doubts(self, most: int, first: Peer | None = None) -> bytes:
-        """Who is not known to live, by chance so many; `first` surely, if it is one of them."""
-        among = [peer for peer in self.peers.values() if peer is not first and (peer.gone or peer.since >= 0)]
-        among = self.sample(among, min(most, len(among)))
-        if first is not None and (first.gone or first.since >= 0):
-            among.append(first)
-        return b"".join(doubt(peer.key, peer.incarnation % STEP) for peer in among)
-
-    def spread(self, told: Told, name: str, incarnation: int, address: str = "") -> None:
+    def add_liveness_proofs(self, message: Message, available: int) -> int:
+        """Adds the liveness proofs to be relayed, newest first. Returns an upper bound of the bytes added."""
+        count = min(max(available - 2, 0) // PROOF_BYTES, len(self.proof_repeats))
+        length_before = len(message.liveness_proofs)
+        for key in list(self.proof_repeats)[: -count - 1 : -1]:
+            times_left = self.proof_repeats.pop(key)
+            message.liveness_proofs += self.latest_proof(key)
+            if times_left > 1:
+                self.proof_repeats[key] = times_left - 1
+        return len(message.liveness_proofs) - length_before + (1 if len(message.liveness_proofs) > 255 else 0)
+
+    def latest_proof(self, key: bytes) -> bytes:
+        """The latest liveness proof known for this chain key; empty if there is none."""
+        if key == self.chain_key:
+            number = self.incarnation % PROCESS_SPAN
+            return liveness_proof(key, number, self.chain.link(number))
+        peer = self.by_chain_key.get(key)
+        return (
+            liveness_proof(key, peer.link_number, peer.chain_link)
+            if peer is not None and peer.chain_link
+            else b""
+        )
+
+    def proof_requests(self, limit: int, first: Peer | None = None) -> bytes:
+        """Requests for at most `limit` random peers that are dead or suspected, and for `first` if it is."""
+        chosen = [
+            peer
+            for peer in self.peers.values()
+            if peer is not first and (peer.is_dead or peer.suspected_since >= 0)
+        ]
+        chosen = self.sample(chosen, min(limit, len(chosen)))
+        if first is not None and (first.is_dead or first.suspected_since >= 0):
+            chosen.append(first)
+        return b"".join(proof_request(peer.chain_key, peer.incarnation % PROCESS_SPAN) for peer in chosen)
+
+    def queue_rumour(self, status: RumourStatus, name: str, incarnation: int, address: str = "") -> None:
         self.rumours.pop(name, None)
-        times = SUSPECT_TOLD * self.rounds() if told == Told.SUSPECT else TOLD
-        self.rumours[name] = (Rumour(told, name, incarnation, address), times)
-
-    def ping(self, address: str, token: bytes, nonce: int, keep: float = 0.0, **more: object) -> bool:
-        return self.ask(address, Kind.PING, token, self.about_self(address) | {"nonce": nonce} | more, keep)
-
-    def about_self(self, to: str) -> dict[str, object]:
-        """What somebody has to know who has not met this balancer, or not lately."""
-        return {"given": self.token_for(to), "address": self.stated.advertise}
-
-    def hurry(self, own: bool = False) -> None:
-        """News that others wait for goes to a few by itself, before any answer; they do the same."""
-        others = [one for one in self.peers.values() if not (one.gone or one.suspect) and one.token]
-        for peer in self.sample(others, min(AT_ONCE, len(others))):
-            if own or self.urgent.take(self.now, 1):
-                self.dispatch(peer.address, Kind.COUNTS, peer.token, {}, self.sent.left(self.now))
-
-    def tell_counts(self) -> None:
-        """To each peer itself, those that wait for longest first: nobody tells another's counts."""
-        own = self.ledger.own
+        repeats = (
+            SUSPECT_REPEATS_PER_ROUND * self.gossip_rounds()
+            if status == RumourStatus.SUSPECT
+            else RUMOUR_REPEATS
+        )
+        self.rumours[name] = (Rumour(status, name, incarnation, address), repeats)
+
+    def send_ping(
+        self, address: str, token: bytes, nonce: int, reserve: float = 0.0, **fields: object
+    ) -> bool:
+        return self.transmit_probe(
+            address, MessageKind.PING, token, self.own_contact(address) | {"nonce": nonce} | fields, reserve
+        )
+
+    def own_contact(self, address: str) -> dict[str, object]:
+        """The fields by which the receiver at this address can get to know this balancer."""
+        return {"issued_token": self.token_for(address), "address": self.settings.advertise}
+
+    def send_urgent(self, is_own: bool = False) -> None:
+        """Sends queued suspicions and liveness proofs to a few peers at once, ahead of the queued answers."""
+        others = [one for one in self.peers.values() if not (one.is_dead or one.is_suspect) and one.token]
+        for peer in self.sample(others, min(URGENT_FANOUT, len(others))):
+            if is_own or self.urgent_limit.try_take(self.now, 1):
+                self.transmit(
+                    peer.address, MessageKind.COUNTS, peer.token, {}, self.send_limit.remaining(self.now)
+                )
+
+    def send_counts(self) -> None:
+        """Sends the own counts to each peer directly, longest-waiting first; counts are never relayed."""
+        own = self.counts_table.own
         if own is None:
             return
-        keep = int(self.stated.send_most * (KEPT_WHEN_BUSY if self.is_busy() else KEPT))
-        while self.telling:
-            peer = self.telling[0]
-            if peer.gone or self.peers.get(peer.name) is not peer:
-                self.telling.popleft()
+        reserve = int(
+            self.settings.send_most * (COUNTS_RESERVE_WHEN_BUSY if self.is_busy() else COUNTS_RESERVE)
+        )
+        while self.counts_queue:
+            peer = self.counts_queue[0]
+            if peer.is_dead or self.peers.get(peer.name) is not peer:
+                self.counts_queue.popleft()
                 continue
-            # Who comes after it was told later, of a version no older.
-            wait = COUNTS_LEAST if peer.told_version < own.version else COUNTS_AGAIN
-            room = self.room() - keep
-            if self.now - peer.told_at < wait or not self.dispatch(
-                peer.address, Kind.COUNTS, peer.token, {"counts": own}, room
+            # The peers behind it in the queue got theirs later, of the same version or a newer one.
+            interval = (
+                COUNTS_MIN_INTERVAL if peer.counts_sent_version < own.version else COUNTS_REPEAT_INTERVAL
+            )
+            available = self.available_bytes() - reserve
+            if self.now - peer.counts_sent_at < interval or not self.transmit(
+                peer.address, MessageKind.COUNTS, peer.token, {"counts": own}, available
             ):
                 return
-            peer.told_at = self.now
-            peer.told_version = own.version
-            self.telling.rotate(-1)
+            peer.counts_sent_at = self.now
+            peer.counts_sent_version = own.version
+            self.counts_queue.rotate(-1)
 
-    # What comes
+    # Receiving
 
-    def on_came(self, event: Came) -> None:
+    def on_message(self, event: MessageReceived) -> None:
         message = event.message
         name = message.name
         if name == self.name:
-            if message.address not in ("", self.stated.advertise):
-                self.log(f"another balancer calls itself {name} too, at {message.address}", "name")
-            self.count("own name")
+            if message.address not in ("", self.settings.advertise):
+                self.log_limited(
+                    f"another balancer also uses the name {name}, at {message.address}", "own name"
+                )
+            self.count_dropped("own name")
             return
-        if message.incarnation > self.incarnation_at(self.unix_now() + DAY):
-            self.count("from the future")
+        if message.incarnation > self.incarnation_at(self.unix_now_ms() + DAY_MS):
+            self.count_dropped("from the future")
             return
         peer = self.peers.get(name)
-        if peer is None or not self.is_same(peer, message):
-            self.introduce(peer, message)
+        if peer is None or not self.is_known_process(peer, message):
+            self.on_unknown_sender(peer, message)
             return
         if message.incarnation < peer.incarnation:
-            # Of the process before; or of a new one whose clock went back: it hears so, and takes a later.
-            self.count("old incarnation")
-            if message.incarnation // STEP < peer.incarnation // STEP:
-                self.unproved(message, [Rumour(Told.GONE, name, peer.incarnation)])
+            # From the previous process, or from a new one whose clock went back: the latter learns of the
+            # higher incarnation from the answer, and takes one above it.
+            self.count_dropped("old incarnation")
+            if message.incarnation // PROCESS_SPAN < peer.incarnation // PROCESS_SPAN:
+                self.send_challenge(message, [Rumour(RumourStatus.DEAD, name, peer.incarnation)])
             return
         if message.token != self.token_for(peer.address):
-            self.unproved(message)
+            self.send_challenge(message)
             return
-        if not peer.from_it.take(self.now, 1):
-            self.count("too many")
+        if not peer.receive_limit.try_take(self.now, 1):
+            self.count_dropped("too many")
             return
-        if not peer.seen.is_new(message.counter):
-            self.count("repeated")
+        if not peer.replay_filter.accept(message.counter):
+            self.count_dropped("repeated")
             return
-        if message.lives and self.now >= self.unheeded.get(name, 0):
-            self.take_lives(message.lives, peer)
+        if message.liveness_proofs and self.now >= self.ignored_until.get(name, 0):
+            self.apply_liveness_proofs(message.liveness_proofs, peer)
         peer.incarnation = max(peer.incarnation, message.incarnation)
-        if message.link:
-            peer.link, peer.number = message.link, message.incarnation % STEP
-        if message.given:
-            peer.token = message.given
-        back = peer.gone
-        self.heard(peer)
-        for one in split(message.doubts, DOUBT)[:DOUBTS_MOST]:
-            if one[:KEY] == self.key and not ahead(one[KEY], self.incarnation % STEP):
-                self.hear_of_self(self.incarnation if one == doubt(self.key, self.incarnation % STEP) else 0)
-        if message.kind == Kind.PING:
-            self.answer(peer, message)
-        elif message.kind == Kind.ACK:
+        if message.chain_link:
+            peer.chain_link, peer.link_number = (
+                message.chain_link,
+                message.incarnation % PROCESS_SPAN,
+            )
+        if message.issued_token:
+            peer.token = message.issued_token
+        was_dead = peer.is_dead
+        self.mark_heard(peer)
+        for request in split_fixed(message.proof_requests, PROOF_REQUEST_BYTES)[:MAX_PROOF_REQUESTS]:
+            if request[:CHAIN_KEY_BYTES] == self.chain_key and not steps_ahead(
+                request[CHAIN_KEY_BYTES], self.incarnation % PROCESS_SPAN
+            ):
+                self.on_own_suspicion(
+                    self.incarnation
+                    if request == proof_request(self.chain_key, self.incarnation % PROCESS_SPAN)
+                    else 0
+                )
+        if message.kind == MessageKind.PING:
+            self.answer_ping(peer, message)
+        elif message.kind == MessageKind.ACK:
             self.on_ack(peer, message)
-        elif message.kind == Kind.ASK:
-            self.look_for(peer, message)
-        elif message.kind == Kind.PROOF:
-            self.on_proof(message)
+        elif message.kind == MessageKind.ASK:
+            self.start_indirect_probe(peer, message)
+        elif message.kind == MessageKind.PROOF:
+            self.on_indirect_proof(message)
         elif message.counts is not None:
-            self.ledger.take(self.now, name, peer.incarnation, message.counts)
+            self.counts_table.store(self.now, name, peer.incarnation, message.counts)
         for rumour in message.rumours:
-            self.hear(rumour, peer)
-        if back and not peer.nonce and (asked := self.doubts(DOUBTS_MOST)):
-            # What has healed for one has for others, and it knows of them: all doubts begin anew.
-            for other in self.looking.values():
-                if other.since >= 0 and not other.nonce:
-                    self.doubt(other)
-            self.look(peer, asked)
-
-    def take_lives(self, lives: bytes, by: Peer) -> None:
-        """Proofs of life, from whomever: each is held against the link that its owner gave this balancer."""
-        for one in split(lives, ONE):
-            peer = self.by_key.get(one[:KEY])
-            steps = ahead(one[KEY], peer.number) if peer is not None and peer.link else 0
-            if not steps or peer.number + steps <= peer.incarnation % STEP and peer is not by:
-                if peer is not None and peer.gone and one[KEY] == peer.incarnation % STEP % 256:
-                    # No proof, but the other holds it to be here.
-                    self.want_look(peer)
+            self.on_rumour(rumour, peer)
+        if was_dead and not peer.nonce and (requests := self.proof_requests(MAX_PROOF_REQUESTS)):
+            # The network may have healed for others too, and this peer knows of them: all suspicions restart.
+            for other in self.probing.values():
+                if other.suspected_since >= 0 and not other.nonce:
+                    self.start_suspicion(other)
+            self.start_probe(peer, requests)
+
+    def apply_liveness_proofs(self, proofs: bytes, relay: Peer) -> None:
+        """Checks each proof, whoever relayed it, against the latest link that is known of its owner."""
+        for one in split_fixed(proofs, PROOF_BYTES):
+            peer = self.by_chain_key.get(one[:CHAIN_KEY_BYTES])
+            steps = (
+                steps_ahead(one[CHAIN_KEY_BYTES], peer.link_number)
+                if peer is not None and peer.chain_link
+                else 0
+            )
+            if not steps or peer.link_number + steps <= peer.incarnation % PROCESS_SPAN and peer is not relay:
+                if (
+                    peer is not None
+                    and peer.is_dead
+                    and one[CHAIN_KEY_BYTES] == peer.incarnation % PROCESS_SPAN % 256
+                ):
+                    # An old link proves nothing, but shows that the relay holds the peer alive.
+                    self.schedule_probe(peer)
                 continue
-            if not makes(one[KEY + 1 :], steps, peer.link):
-                self.count("no proof of life")
-                self.was_wrong(by.name)
+            if not verify_link(one[CHAIN_KEY_BYTES + 1 :], steps, peer.chain_link):
+                self.count_dropped("no proof of life")
+                self.note_false_claim(relay.name)
                 return
-            peer.number += steps
-            peer.link = one[KEY + 1 :]
-            peer.incarnation = max(peer.incarnation, peer.incarnation // STEP * STEP + peer.number)
-            in_doubt = peer.since >= 0 or peer.gone
-            self.well(peer)
-            self.tell_life(peer.key, LIFE_TOLD)
-            if in_doubt:
-                self.hurry()
-
-    def tell_life(self, key: bytes, times: int) -> None:
-        self.lives[key] = max(times, self.lives.pop(key, 0))
+            peer.link_number += steps
+            peer.chain_link = one[CHAIN_KEY_BYTES + 1 :]
+            peer.incarnation = max(
+                peer.incarnation,
+                peer.incarnation // PROCESS_SPAN * PROCESS_SPAN + peer.link_number,
+            )
+            was_doubted = peer.suspected_since >= 0 or peer.is_dead
+            self.mark_alive(peer)
+            self.queue_proof(peer.chain_key, PROOF_REPEATS)
+            if was_doubted:
+                self.send_urgent()
+
+    def queue_proof(self, key: bytes, repeats: int) -> None:
+        self.proof_repeats[key] = max(repeats, self.proof_repeats.pop(key, 0))
 
     @staticmethod
-    def is_same(peer: Peer, message: Message) -> bool:
-        """Of the process that is known under this name, or of one before it."""
-        moved = message.address not in ("", peer.address)
-        return not moved and message.incarnation // STEP <= peer.incarnation // STEP
+    def is_known_process(peer: Peer, message: Message) -> bool:
+        """Whether the sender is the process that is known under this name, or an earlier one."""
+        has_moved = message.address not in ("", peer.address)
+        return not has_moved and message.incarnation // PROCESS_SPAN <= peer.incarnation // PROCESS_SPAN
 
-    def introduce(self, known: Peer | None, message: Message) -> None:
-        """Somebody new: nobody yet, a later process under a known name, or another address under it."""
+    def on_unknown_sender(self, known: Peer | None, message: Message) -> None:
+        """A message of a new balancer, of a later process of a known one, or of another address."""
         address = message.address
         if not is_address(address):
-            self.count("no proof")
+            self.count_dropped("no proof")
             return
         candidate = self.candidates.get(address)
-        there = known if known and known.address == address else None
-        asked = {one.nonce for one in (candidate, there) if one}
+        at_address = known if known and known.address == address else None
+        nonces = {one.nonce for one in (candidate, at_address) if one}
         if (
-            message.kind == Kind.ACK
+            message.kind == MessageKind.ACK
             and message.nonce
-            and message.nonce in asked
+            and message.nonce in nonces
             and message.token == self.token_for(address)
         ):
             self.candidates.pop(address, None)
             if peer := self.admit(known, message):
                 self.on_ack(peer, message)
                 for rumour in message.rumours:
-                    self.hear(rumour, peer)
+                    self.on_rumour(rumour, peer)
             return
-        if message.kind != Kind.PING:
-            self.count("no proof")
+        if message.kind != MessageKind.PING:
+            self.count_dropped("no proof")
             return
-        self.unproved(message)
+        self.send_challenge(message)
 
-    def unproved(self, message: Message, rumours: Sequence[Rumour] = ()) -> None:
-        """Answers a ping of somebody yet to show that it hears under its address, and asks for that."""
+    def send_challenge(self, message: Message, rumours: Sequence[Rumour] = ()) -> None:
+        """Answers a ping of a sender that has yet to prove its address, and asks for that proof."""
         address = message.address
-        if message.kind != Kind.PING or not is_address(address) or not self.unknown.take(self.now, 1):
-            self.count("no proof")
+        if (
+            message.kind != MessageKind.PING
+            or not is_address(address)
+            or not self.unknown_sender_limit.try_take(self.now, 1)
+        ):
+            self.count_dropped("no proof")
             return
-        question = 0
-        if candidate := self.candidate(address, self.now + 2 * self.stated.answer_within):
-            question = candidate.nonce = candidate.nonce or self.bits(NONCE) + 1
-        more = {"nonce": message.nonce, "question": question, "rumours": list(rumours)}
-        self.send(address, Kind.ACK, message.given, **self.about_self(address), **more)
-
-    def candidate(self, address: str, due: int) -> Candidate | None:
-        """None where there is no room for one more."""
+        challenge = 0
+        if candidate := self.add_candidate(address, self.now + 2 * self.settings.answer_within):
+            challenge = candidate.nonce = candidate.nonce or self.random_bits(NONCE_BITS) + 1
+        fields = {"nonce": message.nonce, "challenge": challenge, "rumours": list(rumours)}
+        self.enqueue(address, MessageKind.ACK, message.issued_token, **self.own_contact(address), **fields)
+
+    def add_candidate(self, address: str, due_at: int) -> Candidate | None:
+        """The candidate at this address, a new one if needed; None where there is no room for one more."""
         found = self.candidates.get(address)
-        if found is None and address != self.stated.advertise and len(self.candidates) < MOST_CANDIDATES:
-            found = self.candidates[address] = Candidate(due)
+        if found is None and address != self.settings.advertise and len(self.candidates) < MAX_CANDIDATES:
+            found = self.candidates[address] = Candidate(due_at)
         return found
 
     def admit(self, known: Peer | None, message: Message) -> Peer | None:
-        """It hears under its address. None where the name is somebody else's, or there is no room."""
+        """Makes a peer of a sender that proved its address; None if its name is taken or there is no room."""
         name, address = message.name, message.address
-        if known is not None and not known.gone and known.address != address:
-            if self.now - known.heard_at > ALIVE_WITHIN:
-                self.want_look(known)  # whoever had the name may be gone; the newcomer comes again
+        if known is not None and not known.is_dead and known.address != address:
+            if self.now - known.last_heard_at > NAME_HELD_FOR:
+                self.schedule_probe(known)  # the owner of the name may be dead; the newcomer tries again
                 return None
             if known.incarnation < message.incarnation:
-                self.log(
-                    f"two balancers call themselves {name}: {known.address} and {address}; the first counts",
-                    "two",
+                self.log_limited(
+                    f"two balancers use the name {name}: {known.address} and {address}; the first is kept",
+                    "duplicate name",
                 )
-                self.spread(Told.HERE, name, known.incarnation, known.address)
+                self.queue_rumour(RumourStatus.ALIVE, name, known.incarnation, known.address)
                 return None
-        if known is None and len(self.peers) >= self.stated.peers_most and not self.make_room():
-            self.log(f"no room for more than {self.stated.peers_most} peers: {name} is left out", "room")
+        if known is None and len(self.peers) >= self.settings.peers_most and not self.make_room():
+            self.log_limited(
+                f"limit of {self.settings.peers_most} peers reached: {name} is not admitted", "peer limit"
+            )
             return None
         if known is not None:
-            # All but what it did: guards against a liar that starts again to be heeded again.
+            # Its false claims are kept, so that a misbehaving peer can't clear them with a restart.
             self.drop_process(known)
         peer = self.peers[name] = Peer(name, address, message.incarnation, self.now)
-        self.by_key[peer.key] = peer
-        self.ledger.drop(name)
-        peer.seen.is_new(message.counter)
-        peer.token = message.given
-        peer.link, peer.number = message.link, message.incarnation % STEP
-        self.telling.appendleft(peer)
-        if known is None or known.gone:
-            self.came.append(name)
-        self.spread(Told.HERE, name, peer.incarnation, address)
+        self.by_chain_key[peer.chain_key] = peer
+        self.counts_table.drop(name)
+        peer.replay_filter.accept(message.counter)
+        peer.token = message.issued_token
+        peer.chain_link, peer.link_number = message.chain_link, message.incarnation % PROCESS_SPAN
+        self.counts_queue.appendleft(peer)
+        if known is None or known.is_dead:
+            self.newly_alive.append(name)
+        self.queue_rumour(RumourStatus.ALIVE, name, peer.incarnation, address)
         return peer
 
     def make_room(self) -> bool:
-        """The one that has been gone for longest is forgotten."""
-        gone = [peer for peer in self.peers.values() if peer.gone]
-        if gone:
-            self.forget(min(gone, key=lambda peer: peer.gone_at))
-        return bool(gone)
+        """Forgets the peer that has been dead for longest; whether there was one."""
+        dead = [peer for peer in self.peers.values() if peer.is_dead]
+        if dead:
+            self.forget(min(dead, key=lambda peer: peer.dead_since))
+        return bool(dead)
 
     def forget(self, peer: Peer) -> None:
         del self.peers[peer.name]
         self.drop_process(peer)
-        self.wrongs.pop(peer.name, None)
-        self.unheeded.pop(peer.name, None)
+        self.false_claims.pop(peer.name, None)
+        self.ignored_until.pop(peer.name, None)
 
     def drop_process(self, peer: Peer) -> None:
-        self.by_key.pop(peer.key, None)
-        self.lives.pop(peer.key, None)
-        self.looking.pop(peer.name, None)
+        self.by_chain_key.pop(peer.chain_key, None)
+        self.proof_repeats.pop(peer.chain_key, None)
+        self.probing.pop(peer.name, None)
 
-    def answer(self, peer: Peer, message: Message) -> None:
-        more: dict[str, object] = {"nonce": message.nonce, "given": self.token_for(peer.address)}
+    def answer_ping(self, peer: Peer, message: Message) -> None:
+        fields: dict[str, object] = {"nonce": message.nonce, "issued_token": self.token_for(peer.address)}
         if message.target:
-            # For somebody else: proves to it, and not to who asks, that this balancer was reached.
-            by = self.peers.get(message.target)
-            if by is None or not by.token:
+            # An indirect probe: the proof that this balancer was reached can be verified by the peer that
+            # asked for the probe, and can't be made by the one that relays it.
+            requester = self.peers.get(message.target)
+            if requester is None or not requester.token:
                 return
-            more["proof"] = short_digest(by.token, message.nonce.to_bytes(8))
-        lives = b""
-        for one in split(message.doubts, DOUBT)[:LIVES_ANSWERED]:
-            there = self.by_key.get(one[:KEY])
-            if there is not None and (there.gone or there.suspect):
+            fields["indirect_proof"] = short_digest(requester.token, message.nonce.to_bytes(8))
+        proofs = b""
+        for request in split_fixed(message.proof_requests, PROOF_REQUEST_BYTES)[:MAX_PROOFS_ANSWERED]:
+            owner = self.by_chain_key.get(request[:CHAIN_KEY_BYTES])
+            if owner is not None and (owner.is_dead or owner.is_suspect):
                 continue
-            known = self.proof_of(one[:KEY])
-            if known and ahead(known[KEY], one[KEY] - 1):
-                lives += known
-        self.send(peer.address, Kind.ACK, peer.token, lives=lives, **more)
+            latest = self.latest_proof(request[:CHAIN_KEY_BYTES])
+            if latest and steps_ahead(latest[CHAIN_KEY_BYTES], request[CHAIN_KEY_BYTES] - 1):
+                proofs += latest
+        self.enqueue(peer.address, MessageKind.ACK, peer.token, liveness_proofs=proofs, **fields)
 
     def on_ack(self, peer: Peer, message: Message) -> None:
-        if message.question:
-            more = self.about_self(peer.address)
-            self.send(peer.address, Kind.ACK, peer.token, nonce=message.question, **more)
+        if message.challenge:
+            fields = self.own_contact(peer.address)
+            self.enqueue(peer.address, MessageKind.ACK, peer.token, nonce=message.challenge, **fields)
         if message.nonce and message.nonce == peer.nonce:
-            self.lost.append(peer.through)
+            self.probe_losses.append(peer.has_indirect_probes)
             peer.nonce = 0
-        asked = self.asked.pop(message.nonce, None)
-        if asked is not None and asked.name == peer.name and message.proof:
-            by = self.peers.get(asked.by)
-            if by is not None:
-                self.send(
-                    by.address,
-                    Kind.PROOF,
-                    by.token,
-                    nonce=asked.nonce,
-                    target=asked.name,
-                    proof=message.proof,
+        probe = self.indirect_probes.pop(message.nonce, None)
+        if probe is not None and probe.target == peer.name and message.indirect_proof:
+            requester = self.peers.get(probe.requester)
+            if requester is not None:
+                self.enqueue(
+                    requester.address,
+                    MessageKind.PROOF,
+                    requester.token,
+                    nonce=probe.nonce,
+                    target=probe.target,
+                    indirect_proof=message.indirect_proof,
                 )
 
-    def look_for(self, by: Peer, message: Message) -> None:
+    def start_indirect_probe(self, requester: Peer, message: Message) -> None:
         peer = self.peers.get(message.target)
-        if peer is None or peer is by or len(self.asked) >= MOST_WAITING:
+        if peer is None or peer is requester or len(self.indirect_probes) >= MAX_SEND_QUEUE:
             return
-        self.asked[message.nonce] = Asked(by.name, peer.name, message.nonce, self.now)
-        self.ping(peer.address, peer.token, message.nonce, target=by.name)
+        self.indirect_probes[message.nonce] = IndirectProbe(
+            requester.name, peer.name, message.nonce, self.now
+        )
+        self.send_ping(peer.address, peer.token, message.nonce, target=requester.name)
 
-    def on_proof(self, message: Message) -> None:
+    def on_indirect_proof(self, message: Message) -> None:
         peer = self.peers.get(message.target)
         if peer is None or not message.nonce or message.nonce != peer.nonce:
             return
-        right = short_digest(self.token_for(peer.address), message.nonce.to_bytes(8))
-        if message.proof != right:
-            self.count("no proof")
+        expected = short_digest(self.token_for(peer.address), message.nonce.to_bytes(8))
+        if message.indirect_proof != expected:
+            self.count_dropped("no proof")
             return
-        self.lost.append(True)
+        self.probe_losses.append(True)
         peer.nonce = 0
-        self.well(peer)
+        self.mark_alive(peer)
 
-    # What is said of others
+    # Rumours and suspicion
 
-    def hear(self, rumour: Rumour, by: Peer) -> None:
-        """Looks into it. But for doubts, it goes on to others only if this balancer finds it to be so."""
+    def on_rumour(self, rumour: Rumour, sender: Peer) -> None:
+        """Schedules a check. Only a suspicion is relayed before this balancer has verified it."""
         if rumour.name == self.name:
-            if rumour.told != Told.HERE:
-                if self.now >= self.unheeded.get(by.name, 0):
-                    self.hear_of_self(rumour.incarnation)
-            elif rumour.address != self.stated.advertise:
-                self.log(
-                    f"the name {self.name} is taken by {rumour.address}; this balancer is not counted", "name"
+            if rumour.status != RumourStatus.ALIVE:
+                if self.now >= self.ignored_until.get(sender.name, 0):
+                    self.on_own_suspicion(rumour.incarnation)
+            elif rumour.address != self.settings.advertise:
+                self.log_limited(
+                    f"the name {self.name} is taken by {rumour.address}; the peers don't admit this balancer",
+                    "own name",
                 )
             return
         peer = self.peers.get(rumour.name)
-        if rumour.told == Told.HERE:
-            if peer is None or rumour.incarnation // STEP > peer.incarnation // STEP:
+        if rumour.status == RumourStatus.ALIVE:
+            if peer is None or rumour.incarnation // PROCESS_SPAN > peer.incarnation // PROCESS_SPAN:
                 if is_address(rumour.address):
-                    spread = int(self.uniform(0, len(self.peers) * MEET_SPREAD))
-                    self.candidate(rumour.address, self.now + self.turn_of(rumour.name) + spread)
-            elif peer.gone:
-                self.look_again(peer)
+                    spread = int(self.uniform(0, len(self.peers) * MEETING_SPREAD_PER_PEER))
+                    self.add_candidate(rumour.address, self.now + self.contact_delay(rumour.name) + spread)
+            elif peer.is_dead:
+                self.schedule_contact(peer)
             return
-        if peer is None or peer.gone:
+        if peer is None or peer.is_dead:
             return
         if rumour.incarnation < peer.incarnation:
-            if rumour.incarnation % STEP < peer.number and self.urgent.take(self.now, 1):
-                # Who tells it has missed the proof.
-                self.ask(by.address, Kind.COUNTS, by.token, {"lives": self.proof_of(peer.key)})
+            if rumour.incarnation % PROCESS_SPAN < peer.link_number and self.urgent_limit.try_take(
+                self.now, 1
+            ):
+                # The suspicion is already refuted; the sender has missed the proof.
+                self.transmit_probe(
+                    sender.address,
+                    MessageKind.COUNTS,
+                    sender.token,
+                    {"liveness_proofs": self.latest_proof(peer.chain_key)},
+                )
             return
-        if self.now < self.unheeded.get(by.name, 0):
-            self.count("not heeded")
+        if self.now < self.ignored_until.get(sender.name, 0):
+            self.count_dropped("not heeded")
             return
-        if rumour.told != Told.DOUBTED:
-            peer.voices.add(by.name)
-        if peer.since < 0 and self.hearsay.take(self.now, 1):
-            # Passed on, so that the one in doubt hears of it, and its proof is there before most have looked.
-            self.spread(Told.DOUBTED, peer.name, peer.incarnation)
-            self.hurry()
-            self.doubt(peer)
-
-    def doubt(self, peer: Peer) -> None:
-        peer.since = self.now
+        if rumour.status != RumourStatus.RELAYED_SUSPECT:
+            peer.suspected_by.add(sender.name)
+        if peer.suspected_since < 0 and self.rumour_probe_limit.try_take(self.now, 1):
+            # Relayed at once, so that the suspect hears of it and its proof arrives before most have probed.
+            self.queue_rumour(RumourStatus.RELAYED_SUSPECT, peer.name, peer.incarnation)
+            self.send_urgent()
+            self.start_suspicion(peer)
+
+    def start_suspicion(self, peer: Peer) -> None:
+        """Starts the suspicion timeout, and schedules a probe within it."""
+        peer.suspected_since = self.now
         if not peer.nonce:
-            patience = self.patience()
-            peer.due = self.now + int(self.uniform(LOOK_FROM * patience, LOOK_TO * patience))
-            self.looking[peer.name] = peer
+            timeout = self.suspicion_timeout()
+            peer.probe_due_at = self.now + int(
+                self.uniform(RUMOUR_PROBE_FROM * timeout, RUMOUR_PROBE_TO * timeout)
+            )
+            self.probing[peer.name] = peer
 
-    def rounds(self) -> int:
-        """In which news that each passes on to one more is with the whole fleet."""
+    def gossip_rounds(self) -> int:
+        """Rounds until a rumour has reached the whole fleet, if each that has it tells one per round."""
         return ceil(log2(2 + len(self.peers)))
 
-    def patience(self) -> int:
-        return PATIENCE * self.rounds()
+    def suspicion_timeout(self) -> int:
+        return SUSPICION_TIMEOUT_PER_ROUND * self.gossip_rounds()
 
-    def turn_of(self, name: str) -> int:
-        """One of the two asks, the other only if that has not come about."""
+    def contact_delay(self, name: str) -> int:
+        """The balancer whose name sorts first contacts the other; the other only if that didn't happen."""
         return int(self.uniform(0, SECOND / 2)) + (0 if self.name < name else SECOND)
 
-    def look_again(self, peer: Peer) -> None:
-        if peer.due < 0 and not peer.nonce:
-            peer.due = self.now + self.turn_of(peer.name)
-            self.looking[peer.name] = peer
-
-    def want_look(self, peer: Peer, spread: int = 0) -> None:
-        peer.due = self.now + int(self.uniform(0, self.stated.answer_within / 2 + spread))
-        self.looking[peer.name] = peer
-
-    def hear_of_self(self, doubted: int) -> None:
-        """`doubted`: the incarnation of this balancer of which it is said that it does not live."""
-        process = self.incarnation // STEP
-        if doubted // STEP > process:
-            # Of a process before this, by whose clock it was later. Nobody can force that over and over.
+    def schedule_contact(self, peer: Peer) -> None:
+        if peer.probe_due_at < 0 and not peer.nonce:
+            peer.probe_due_at = self.now + self.contact_delay(peer.name)
+            self.probing[peer.name] = peer
+
+    def schedule_probe(self, peer: Peer, spread: int = 0) -> None:
+        peer.probe_due_at = self.now + int(self.uniform(0, self.settings.answer_within / 2 + spread))
+        self.probing[peer.name] = peer
+
+    def on_own_suspicion(self, incarnation: int) -> None:
+        """A peer suspects this balancer at `incarnation`, or holds it dead."""
+        process = self.incarnation // PROCESS_SPAN
+        if incarnation // PROCESS_SPAN > process:
+            # From an earlier process, whose clock was ahead. It is limited, so that nobody can force new
+            # incarnations over and over.
             if (
-                self.now - self.later_at < HEED_AGAIN
-                or self.incarnation_at(self.unix_now() + DAY // 2) <= doubted
+                self.now - self.process_raised_at < IGNORE_FOR
+                or self.incarnation_at(self.unix_now_ms() + DAY_MS // 2) <= incarnation
             ):
                 return
-            self.later_at = self.now
-            self.become(doubted // STEP + 1)
-        elif doubted == self.incarnation:
-            if self.now - self.refuted_at < REFUTE_EVERY:
+            self.process_raised_at = self.now
+            self.start_new_process(incarnation // PROCESS_SPAN + 1)
+        elif incarnation == self.incarnation:
+            if self.now - self.refuted_at < REFUTE_INTERVAL:
                 return
-            self.prove_life()
-        elif doubted < self.incarnation:
-            self.tell_life(self.key, LIFE_TOLD)
+            self.refute()
+        elif incarnation < self.incarnation:
+            self.queue_proof(self.chain_key, PROOF_REPEATS)
 
-    def prove_life(self) -> None:
-        """Lets the next link go."""
+    def refute(self) -> None:
+        """Takes the next incarnation and releases its link as a liveness proof."""
         self.refuted_at = self.now
-        if self.incarnation % STEP == LENGTH:
-            self.become(self.incarnation // STEP + 1)
+        if self.incarnation % PROCESS_SPAN == CHAIN_LENGTH:
+            self.start_new_process(self.incarnation // PROCESS_SPAN + 1)
             return
         self.incarnation += 1
-        self.tell_life(self.key, LIFE_TOLD * self.rounds())
-        self.hurry(own=True)
-
-    def become(self, process: int) -> None:
-        """To the others this is a restart: they meet it anew."""
-        self.lives.pop(self.key, None)
-        self.incarnation = process * STEP
-        self.chain = Chain(self.randbytes(32))
-        self.key = key_of(self.name, process)
-        self.spread(Told.HERE, self.name, self.incarnation, self.stated.advertise)
-
-    def heard(self, peer: Peer) -> None:
-        """It has shown to be there, and that the way to it is sound."""
-        peer.heard_at = self.now
+        self.queue_proof(self.chain_key, PROOF_REPEATS * self.gossip_rounds())
+        self.send_urgent(is_own=True)
+
+    def start_new_process(self, process: int) -> None:
+        """Takes a new hash chain; the peers see a restart and admit this balancer anew."""
+        self.proof_repeats.pop(self.chain_key, None)
+        self.incarnation = process * PROCESS_SPAN
+        self.chain = HashChain(self.randbytes(32))
+        self.chain_key = chain_key(self.name, process)
+        self.queue_rumour(RumourStatus.ALIVE, self.name, self.incarnation, self.settings.advertise)
+
+    def mark_heard(self, peer: Peer) -> None:
+        """A verified message came from the peer itself, so the way to it works."""
+        peer.last_heard_at = self.now
         self.candidates.pop(peer.address, None)
-        if peer.gone or peer.since >= 0 or peer.failed:
-            self.well(peer)
-
-    def well(self, peer: Peer) -> None:
-        """It lives: whoever suspected it was wrong."""
-        peer.failed = 0
-        peer.since = -1
-        if peer.gone:
-            peer.gone = False
-            peer.told_version = 0
-            self.telling.appendleft(peer)
-            self.came.append(peer.name)
-            if peer.link:
-                self.tell_life(peer.key, LIFE_TOLD)
-        for voice in peer.voices:
-            self.was_wrong(voice)
-        peer.voices.clear()
-        peer.suspect = False
-        peer.due = -1
-        peer.nonce = 0  # a look under way: its answer may be what is late
-        if peer.name in self.rumours and self.rumours[peer.name][0].told != Told.HERE:
+        if peer.is_dead or peer.suspected_since >= 0 or peer.failed_probes:
+            self.mark_alive(peer)
+
+    def mark_alive(self, peer: Peer) -> None:
+        """Ends any suspicion; the peers that suspected it made a false claim."""
+        peer.failed_probes = 0
+        peer.suspected_since = -1
+        if peer.is_dead:
+            peer.is_dead = False
+            peer.counts_sent_version = 0
+            self.counts_queue.appendleft(peer)
+            self.newly_alive.append(peer.name)
+            if peer.chain_link:
+                self.queue_proof(peer.chain_key, PROOF_REPEATS)
+        for suspecter in peer.suspected_by:
+            self.note_false_claim(suspecter)
+        peer.suspected_by.clear()
+        peer.is_suspect = False
+        peer.probe_due_at = -1
+        peer.nonce = 0  # ends a probe in flight: it may only be its answer that is late
+        if peer.name in self.rumours and self.rumours[peer.name][0].status != RumourStatus.ALIVE:
             del self.rumours[peer.name]
 
-    def was_wrong(self, voice: str) -> None:
-        """Guards against one that calls everybody dead: it is not heeded for a while."""
-        if not self.wrongs.setdefault(voice, Window(MOST_WRONG - 1, WRONG_WITHIN)).take(self.now, 1):
-            del self.wrongs[voice]
-            self.unheeded[voice] = self.now + HEED_AGAIN
-            self.log(f"peer {voice} is not heeded for a minute: {MOST_WRONG} wrong suspicions", "heed")
+    def note_false_claim(self, name: str) -> None:
+        """Ignores the claims of a peer for a while once it has made too many wrong ones."""
+        if not self.false_claims.setdefault(
+            name, SlidingWindow(MAX_FALSE_CLAIMS - 1, FALSE_CLAIMS_WITHIN)
+        ).try_take(self.now, 1):
+            del self.false_claims[name]
+            self.ignored_until[name] = self.now + IGNORE_FOR
+            self.log_limited(
+                f"peer {name} is ignored for a minute: {MAX_FALSE_CLAIMS} wrong suspicions", "ignored peer"
+            )
 
-    # Looks
+    # Probes
 
     def on_tick(self, event: Tick) -> None:
-        late = self.now - self.ticked_at - TICK
-        self.ticked_at = self.now
-        if late > LATE:
-            self.stood_still(late)
-        for name, peer in list(self.looking.items()):
+        late_by = self.now - self.last_tick_at - TICK
+        self.last_tick_at = self.now
+        if late_by > STALL_THRESHOLD:
+            self.on_stall(late_by)
+        for name, peer in list(self.probing.items()):
             if peer.nonce:
-                self.look_on(peer)
-            if 0 <= peer.due <= self.now and not peer.nonce:
-                self.look(peer)
-            if not peer.nonce and peer.due < 0:
-                if peer.since < 0:
-                    del self.looking[name]
+                self.check_probe(peer)
+            if 0 <= peer.probe_due_at <= self.now and not peer.nonce:
+                self.start_probe(peer)
+            if not peer.nonce and peer.probe_due_at < 0:
+                if peer.suspected_since < 0:
+                    del self.probing[name]
                 else:
-                    self.weigh(peer)
-        if self.now >= self.probe_at:
-            self.probe_at = self.now + self.stated.period
-            self.probe()
-        self.meet()
-        for nonce in [nonce for nonce, one in self.asked.items() if self.now - one.since > 2 * SECOND]:
-            del self.asked[nonce]
-        self.ledger.drop_old(self.now)
-        self.say_who()
-
-    def stood_still(self, late: int) -> None:
-        """Guards against calling others dead for the time in which this process did not run."""
-        self.quiet_until = self.now + QUIET
-        for peer in self.looking.values():
+                    self.evaluate_suspicion(peer)
+        if self.now >= self.next_probe_at:
+            self.next_probe_at = self.now + self.settings.period
+            self.probe_next()
+        self.contact_candidates()
+        for nonce in [
+            nonce for nonce, one in self.indirect_probes.items() if self.now - one.started_at > 2 * SECOND
+        ]:
+            del self.indirect_probes[nonce]
+        self.counts_table.drop_expired(self.now)
+        self.log_changes()
+
+    def on_stall(self, late_by: int) -> None:
+        """Restarts all probes, so that no peer is declared dead for the time in which this process hung."""
+        self.verdicts_paused_until = self.now + VERDICT_PAUSE
+        for peer in self.probing.values():
             peer.nonce = 0
-            peer.due = -1
-            peer.since = -1
-            peer.failed = 0
-        self.asked.clear()
-        self.log(f"late by {late / SECOND:.1f} s; judgement of peers rests for {QUIET // SECOND} s", "late")
-
-    def on_deaf(self, event: Deaf) -> None:
-        """Guards against calling others dead for answers lost in a flood."""
-        self.quiet_until = self.now + QUIET
-        self.log(f"flooded; judgement of peers rests until {QUIET // SECOND} s after", "deaf")
-
-    def probe(self) -> None:
-        """One that is here, and one that is gone."""
-        for peer in [one for one in self.peers.values() if one.gone and self.now - one.gone_at > REMEMBER]:
+            peer.probe_due_at = -1
+            peer.suspected_since = -1
+            peer.failed_probes = 0
+        self.indirect_probes.clear()
+        self.log_limited(
+            f"late by {late_by / SECOND:.1f} s; no peer is declared dead for {VERDICT_PAUSE // SECOND} s",
+            "stall",
+        )
+
+    def on_receive_overflow(self, event: ReceiveOverflow) -> None:
+        """Pauses the verdicts: answers of peers may have been lost in the flood."""
+        self.verdicts_paused_until = self.now + VERDICT_PAUSE
+        self.log_limited(
+            f"datagram flood; no peer is declared dead until {VERDICT_PAUSE // SECOND} s after it", "flood"
+        )
+
+    def probe_next(self) -> None:
+        """Probes one alive peer and one dead one, and forgets those that have been dead for long."""
+        for peer in [
+            one
+            for one in self.peers.values()
+            if one.is_dead and self.now - one.dead_since > FORGET_DEAD_AFTER
+        ]:
             self.forget(peer)
-        for gone in (False, True):
-            among = [
-                peer for peer in self.peers.values() if peer.gone is gone and not peer.nonce and peer.due < 0
+        for is_dead in (False, True):
+            eligible = [
+                peer
+                for peer in self.peers.values()
+                if peer.is_dead is is_dead and not peer.nonce and peer.probe_due_at < 0
             ]
-            # All together look at each about once a period: or what comes back drowns, or, where all have yet
-            # to meet, those few whom everybody met first.
-            fleet = len(self.peers) + (0 if gone else len(self.candidates))
-            if among and self.uniform(0, fleet) < len(among):
-                self.look(self.whose_turn(among))
-
-    def whose_turn(self, among: list[Peer]) -> Peer:
-        """The one as many places after this balancer, in the order of names, as there were periods.
-
-        So each is looked at by one other in each period, and by all in turn. Guards against chance, by which
-        some are looked at by nobody for seconds, and against all looking at who was not heard for longest:
-        one that has just died was heard. Clocks that differ make it as uneven as chance would.
+            # The fleet together probes each peer about once a period. With more probes, the answers of a peer
+            # that comes back would be lost in them, and so would, while the fleet is still meeting, those few
+            # peers that all have met first.
+            fleet_size = len(self.peers) + (0 if is_dead else len(self.candidates))
+            if eligible and self.uniform(0, fleet_size) < len(eligible):
+                self.start_probe(self.pick_round_robin(eligible))
+
+    def pick_round_robin(self, eligible: list[Peer]) -> Peer:
+        """The peer that follows this balancer in the order of names by as many places as periods have passed.
+
+        So in each period every balancer is probed by one other, and by all in turn. With random choice, some
+        would not be probed by anybody for seconds; with a choice of the peer not heard from for longest, a
+        peer that has just died would be probed last, as it was heard from. Clocks that differ make it as
+        uneven as random choice.
         """
-        ring = sorted([self.name, *(peer.name for peer in self.here())])
-        turns = self.unix_now() * 10 // self.stated.period
-        name = ring[(ring.index(self.name) + 1 + turns % max(len(ring) - 1, 1)) % len(ring)]
-        return next((peer for peer in among if peer.name == name), None) or self.sample(among, 1)[0]
-
-    def look(self, peer: Peer, doubts: bytes = b"") -> None:
-        nonce = self.bits(NONCE) + 1
-        doubts = doubts or self.doubts(DOUBTS_ASKED, peer)
-        if not self.ping(peer.address, peer.token, nonce, doubts=doubts):
-            self.want_look(peer)
+        ring = sorted([self.name, *(peer.name for peer in self.alive_peers())])
+        turn = self.unix_now_ms() * 10 // self.settings.period
+        name = ring[(ring.index(self.name) + 1 + turn % max(len(ring) - 1, 1)) % len(ring)]
+        return next((peer for peer in eligible if peer.name == name), None) or self.sample(eligible, 1)[0]
+
+    def start_probe(self, peer: Peer, requests: bytes = b"") -> None:
+        nonce = self.random_bits(NONCE_BITS) + 1
+        requests = requests or self.proof_requests(REQUESTS_PER_PROBE, peer)
+        if not self.send_ping(peer.address, peer.token, nonce, proof_requests=requests):
+            self.schedule_probe(peer)
             return
-        peer.due = -1
+        peer.probe_due_at = -1
         peer.nonce = nonce
-        peer.began = peer.looked_at = self.now
-        peer.through = False
-        self.looking[peer.name] = peer
-
-    def look_on(self, peer: Peer) -> None:
-        waited = self.now - peer.began
-        within = self.stated.answer_within
-        if waited < within:
+        peer.probe_started_at = peer.last_probed_at = self.now
+        peer.has_indirect_probes = False
+        self.probing[peer.name] = peer
+
+    def check_probe(self, peer: Peer) -> None:
+        """Requests indirect probes, or ends the probe as failed, once its time is over."""
+        waited = self.now - peer.probe_started_at
+        answer_within = self.settings.answer_within
+        if waited < answer_within:
             return
-        if peer.gone:
+        if peer.is_dead:
             peer.nonce = 0
-        elif waited >= 2 * within or peer.since >= 0 and not peer.suspect:
-            self.look_failed(peer)  # for hearsay nobody is asked to help: a proof of life is what helps
-        elif not peer.through and (peer.since < 0 or not peer.failed % 2) and not self.many_suspect():
-            # Guards against a fleet cut in two that spends all it may send on questions about the other half.
-            others = [
+        elif waited >= 2 * answer_within or peer.suspected_since >= 0 and not peer.is_suspect:
+            # No indirect probes to check a rumour: if the rumour is wrong, a liveness proof refutes it.
+            self.on_probe_failed(peer)
+        elif (
+            not peer.has_indirect_probes
+            and (peer.suspected_since < 0 or not peer.failed_probes % 2)
+            and not self.has_many_suspects()
+        ):
+            # With many suspects the fleet is probably partitioned: requests about the other side would use up
+            # the send limit.
+            helpers = [
                 one
                 for one in self.peers.values()
-                if not (one.gone or one.suspect or one is peer) and one.token
+                if not (one.is_dead or one.is_suspect or one is peer) and one.token
             ]
-            more = {"nonce": peer.nonce, "target": peer.name}
-            for helper in self.sample(others, min(HELPERS, len(others))):
-                peer.through |= self.ask(helper.address, Kind.ASK, helper.token, more)
-            if others and not peer.through:
-                # Nobody could be asked for want of room: this look tells nothing.
+            fields = {"nonce": peer.nonce, "target": peer.name}
+            for helper in self.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
+                peer.has_indirect_probes |= self.transmit_probe(
+                    helper.address, MessageKind.ASK, helper.token, fields
+                )
+            if helpers and not peer.has_indirect_probes:
+                # The send limit left no room for a request, so this probe tells nothing.
                 peer.nonce = 0
-                self.want_look(peer)
+                self.schedule_probe(peer)
 
-    def look_failed(self, peer: Peer) -> None:
+    def on_probe_failed(self, peer: Peer) -> None:
         peer.nonce = 0
-        if self.now < self.quiet_until:
+        if self.now < self.verdicts_paused_until:
             return
-        peer.failed += 1
-        if peer.since < 0 and peer.failed <= self.likely_lost():
-            # Guards against a fleet that is busy, or loses much, and drowns in doubts of each other.
-            self.want_look(peer)
+        peer.failed_probes += 1
+        if peer.suspected_since < 0 and peer.failed_probes <= self.expected_losses():
+            # Probes lost on the way raise no suspicion: a busy or lossy fleet would be flooded by rumours.
+            self.schedule_probe(peer)
             return
-        if not peer.suspect:
-            peer.suspect = True
-            first = peer.since < 0
-            peer.since = self.now if first else peer.since
-            self.spread(Told.SUSPECT, peer.name, peer.incarnation)
-            if first:
-                self.hurry()
-        self.weigh(peer)
-
-    def weigh(self, peer: Peer) -> None:
-        """One in doubt at which no look is under way: another look, or the verdict once a proof had time."""
-        if peer.failed < self.looks_wanted(peer):
-            self.want_look(peer, len(self.peers) * AGAIN_SPREAD)
-        elif self.now - peer.since >= self.patience() and self.now >= self.quiet_until:
-            self.call_gone(peer)
-
-    def looks_wanted(self, peer: Peer) -> int:
-        """That have to fail, one after the other: more by what was lost on the way lately."""
-        others = sum(not (one.gone or one.suspect) for one in self.peers.values())
-        agreed = others and len(peer.voices) >= min(VOICES, others)
-        return (1 if agreed else LOOKS) + self.likely_lost()
-
-    def likely_lost(self) -> int:
-        """Looks whose failing tells nothing, by what was lost on the way lately."""
-        return int(LOSS_WEIGHT * sum(self.lost) / LOSSES)
-
-    def call_gone(self, peer: Peer) -> None:
-        peer.gone = True
-        peer.gone_at = self.now
-        peer.since = -1
-        peer.due = -1
-        peer.voices.clear()
-        self.ledger.drop(peer.name)
-        self.went.append(peer.name)
-        self.spread(Told.GONE, peer.name, peer.incarnation)
-        if not self.lost_many.take(self.now, 1) and self.now - self.sure_at >= SURE_EVERY:
-            # Those who lost it can then hear of its life from anybody, as soon as they hear of one again.
-            self.sure_at = self.now
-            self.prove_life()
-
-    # Those not met yet
-
-    def meet(self) -> None:
-        if self.now >= self.join_at:
-            self.joins += 1
-            self.join_at = self.now + int(JOIN_EVERY * self.uniform(1, 1 + self.joins))
-            again = self.now >= self.rejoin_at
-            if again:
-                self.rejoin_at = self.now + REJOIN_EVERY
-            # Guards against a fleet that starts as two, each round another address of the list.
-            if again or self.now - self.start < EAGER or not self.here():
-                known = {peer.address for peer in self.here()}
-                away = [one for one in self.stated.join if one not in known and one != self.stated.advertise]
-                # One at a time: guards against a fleet that starts together and drowns the first of the list.
-                for address in self.sample(away, min(len(away), 1)):
-                    self.candidate(address, self.now)
+        if not peer.is_suspect:
+            peer.is_suspect = True
+            is_first = peer.suspected_since < 0
+            peer.suspected_since = self.now if is_first else peer.suspected_since
+            self.queue_rumour(RumourStatus.SUSPECT, peer.name, peer.incarnation)
+            if is_first:
+                self.send_urgent()
+        self.evaluate_suspicion(peer)
+
+    def evaluate_suspicion(self, peer: Peer) -> None:
+        """Probes a suspect again if it has no probe in flight, or declares it dead after the timeout."""
+        if peer.failed_probes < self.required_failures(peer):
+            self.schedule_probe(peer, len(self.peers) * REPROBE_SPREAD_PER_PEER)
+        elif (
+            self.now - peer.suspected_since >= self.suspicion_timeout()
+            and self.now >= self.verdicts_paused_until
+        ):
+            self.declare_dead(peer)
+
+    def required_failures(self, peer: Peer) -> int:
+        """Probes in a row that have to fail; more while many are lost on the way."""
+        others = sum(not (one.is_dead or one.is_suspect) for one in self.peers.values())
+        is_confirmed = others and len(peer.suspected_by) >= min(MIN_SUSPECTERS, others)
+        return (1 if is_confirmed else FAILURES_ALONE) + self.expected_losses()
+
+    def expected_losses(self) -> int:
+        """Failed probes that are explained by the recent rate of loss."""
+        return int(LOSS_WEIGHT * sum(self.probe_losses) / LOSS_SAMPLES)
+
+    def declare_dead(self, peer: Peer) -> None:
+        peer.is_dead = True
+        peer.dead_since = self.now
+        peer.suspected_since = -1
+        peer.probe_due_at = -1
+        peer.suspected_by.clear()
+        self.counts_table.drop(peer.name)
+        self.newly_dead.append(peer.name)
+        self.queue_rumour(RumourStatus.DEAD, peer.name, peer.incarnation)
+        if (
+            not self.recent_deaths.try_take(self.now, 1)
+            and self.now - self.self_proof_at >= SELF_PROOF_INTERVAL
+        ):
+            # The peers that hold this balancer dead then get its proof from any peer that they reach again.
+            self.self_proof_at = self.now
+            self.refute()
+
+    # Joining
+
+    def contact_candidates(self) -> None:
+        """Adds addresses of the join list to the candidates when it is time, and pings those that are due."""
+        if self.now >= self.next_join_at:
+            self.join_attempts += 1
+            self.next_join_at = self.now + int(JOIN_INTERVAL * self.uniform(1, 1 + self.join_attempts))
+            is_rejoin = self.now >= self.next_rejoin_at
+            if is_rejoin:
+                self.next_rejoin_at = self.now + REJOIN_INTERVAL
+            # Contacting only until the first peer is met could leave two separate fleets, each around another
+            # address of the list.
+            if is_rejoin or self.now - self.started_at < EAGER_JOIN_FOR or not self.alive_peers():
+                known = {peer.address for peer in self.alive_peers()}
+                unknown = [
+                    one for one in self.settings.join if one not in known and one != self.settings.advertise
+                ]
+                # One random address at a time: a fleet that starts together must not overload the first one.
+                for address in self.sample(unknown, min(len(unknown), 1)):
+                    self.add_candidate(address, self.now)
         for address, one in list(self.candidates.items()):
-            if one.due > self.now:
+            if one.due_at > self.now:
                 continue
-            if one.tries >= TRIES:
+            if one.attempts >= MAX_CANDIDATE_PINGS:
                 del self.candidates[address]
                 continue
-            one.nonce = one.nonce or self.bits(NONCE) + 1
-            if not self.ping(address, b"", one.nonce, keep=KEPT_FROM_MEETING):
+            one.nonce = one.nonce or self.random_bits(NONCE_BITS) + 1
+            if not self.send_ping(address, b"", one.nonce, reserve=MEETING_RESERVE):
                 return
-            one.tries += 1
-            one.due = self.now + int(
-                self.uniform(1, 2) * (self.stated.period + len(self.peers) * MEET_SPREAD)
+            one.attempts += 1
+            one.due_at = self.now + int(
+                self.uniform(1, 2) * (self.settings.period + len(self.peers) * MEETING_SPREAD_PER_PEER)
             )
 
-    # The rest
+    # Own state and logging
 
-    def on_counted(self, event: Counted) -> None:
+    def on_counts_updated(self, event: CountsUpdated) -> None:
         counts = event.counts
-        counts.draining = counts.draining or self.draining
-        counts.by_kind = counts.by_kind[:MOST_KINDS]
-        while counts.by_server and len(encode(counts)) > LARGEST_COUNTS:
-            # Guards against a datagram too large to be taken: who holds least is counted without a name.
-            counts.beyond += counts.by_server.pop()[1]
-        self.ledger.note_own(self.now, counts)
-
-    def on_leaving(self, event: Leaving) -> None:
-        self.draining = True
-        self.spread(Told.GONE, self.name, self.incarnation)
-
-    def say_who(self) -> None:
-        """One line a second at the most, however many came or went."""
-        if self.now - self.said_at < SECOND or not (self.came or self.went):
+        counts.draining = counts.draining or self.is_draining
+        counts.by_kind = counts.by_kind[:MAX_KINDS]
+        while counts.by_server and len(encode(counts)) > MAX_COUNTS_BYTES:
+            # Receivers drop a datagram that is too large, so the servers with fewest sessions go unlisted.
+            counts.unlisted += counts.by_server.pop()[1]
+        self.counts_table.set_own(self.now, counts)
+
+    def on_shutdown_started(self, event: ShutdownStarted) -> None:
+        self.is_draining = True
+        self.queue_rumour(RumourStatus.DEAD, self.name, self.incarnation)
+
+    def log_changes(self) -> None:
+        """Logs who came and went, in at most one line a second."""
+        if self.now - self.changes_logged_at < SECOND or not (self.newly_alive or self.newly_dead):
             return
-        self.said_at = self.now
-        parts = [f"peers: {len(self.here())} here"]
+        self.changes_logged_at = self.now
+        parts = [f"peers: {len(self.alive_peers())} here"]
         parts += [
-            f"{what} {listed(names)}" for what, names in (("came", self.came), ("gone", self.went)) if names
+            f"{change} {format_names(names)}"
+            for change, names in (("came", self.newly_alive), ("gone", self.newly_dead))
+            if names
         ]
-        self.out.append(Log("; ".join(parts)))
-        self.came, self.went = [], []
+        self.actions.append(Log("; ".join(parts)))
+        self.newly_alive, self.newly_dead = [], []
 
-    def count(self, what: str) -> None:
-        self.counted[what] += 1
+    def count_dropped(self, reason: str) -> None:
+        self.dropped[reason] += 1
 
-    def log(self, text: str, kind: str) -> None:
-        if self.now - self.logged.get(kind, -LOG_PAUSE) >= LOG_PAUSE:
-            self.logged[kind] = self.now
-            self.out.append(Log(text))
+    def log_limited(self, text: str, kind: str) -> None:
+        """Logs at most one line of each kind per LOG_INTERVAL."""
+        if self.now - self.logged_at.get(kind, -LOG_INTERVAL) >= LOG_INTERVAL:
+            self.logged_at[kind] = self.now
+            self.actions.append(Log(text))
 
 
-def listed(names: list[str]) -> str:
-    more = len(names) - NAMED
-    return ", ".join(names[:NAMED]) + (f" and {more} more" if more > 0 else "")
+def format_names(names: list[str]) -> str:
+    more = len(names) - NAMES_PER_LOG_LINE
+    return ", ".join(names[:NAMES_PER_LOG_LINE]) + (f" and {more} more" if more > 0 else "")
--- a/thymedeck/peers/start.py
+++ b/thymedeck/peers/start.py
@@ -1,4 +1,7 @@
-"""How `serve --peers FILE` and `check --peers FILE` begin: the unfit is told before anything is opened."""
+"""Sets up peers for `serve --peers FILE` and `check --peers FILE`.
+
+Unusable settings are reported before any socket is opened.
+"""
 
 from collections.abc import Callable
 from functools import partial
@@ -8,26 +11,26 @@
 from ..net.told import Start, StartError
 from .messages import is_name
 from .settings import PeerSettings, SettingsFileError, load_peer_settings
-from .transport import Carrier
+from .transport import PeerTransport
 
 if TYPE_CHECKING:
     from ..net.service import Service
 
 
-def prepared(path: str, start: Start) -> Callable[["Service", System], None]:
-    """Raises StartError with one line."""
+def prepare_peers(path: str, start: Start) -> Callable[["Service", System], None]:
+    """Reads the settings; returns what starts the peers on a service. Raises StartError with one line."""
     if not start.told.settings.limits.peers:
         raise StartError(f"{path}: the settings of this deployment forbid peers")
     if not is_name(start.told.name):
-        raise StartError(f"{path}: {start.told.name!r} is no name for a peer")
+        raise StartError(f"{path}: {start.told.name!r} is not a valid name for a peer")
     try:
-        stated = load_peer_settings(path)
-    except SettingsFileError as why:
-        raise StartError(str(why)) from None
-    return partial(join, stated, start)
+        settings = load_peer_settings(path)
+    except SettingsFileError as error:
+        raise StartError(str(error)) from None
+    return partial(start_peers, settings, start)
 
 
-def join(stated: PeerSettings, start: Start, service: "Service", system: System) -> None:
-    carrier = Carrier(service, stated, system, start.told.name, start.seed)
-    service.on_reload.append(carrier.reload_keys)
-    service.log("peers_on", listen="{}:{}".format(*carrier.sock.getsockname()), fleet=stated.fleet)
+def start_peers(settings: PeerSettings, start: Start, service: "Service", system: System) -> None:
+    transport = PeerTransport(service, settings, system, start.told.name, start.seed)
+    service.on_reload.append(transport.reload_keys)
+    service.log("peers_on", listen="{}:{}".format(*transport.sock.getsockname()), fleet=settings.fleet)
--- a/thymedeck/peers/transport.py
+++ b/thymedeck/peers/transport.py
@@ -1,4 +1,4 @@
-"""Peers on sockets: datagrams on the service's own loop, the own counts gathered from the service."""
+"""Peers over UDP on the service's event loop; this balancer's own counts are gathered from the service."""
 
 import contextlib
 from collections import Counter, deque
@@ -7,142 +7,156 @@
 from ..net.loop import READ
 from ..net.system import System
 from ..net.told import server_address
-from .counts_table import Sum
-from .events import Action, Came, Counted, Deaf, Event, Leaving, Log, Send, Tick
-from .limits import Window
-from .membership import TICK, Peers
-from .messages import LARGEST, Counts, Envelope, Unusable, server_key
+from .counts_table import FleetTotals
+from .events import (
+    Action,
+    CountsUpdated,
+    Event,
+    Log,
+    MessageReceived,
+    ReceiveOverflow,
+    Send,
+    ShutdownStarted,
+    Tick,
+)
+from .limits import SlidingWindow
+from .membership import TICK, Membership
+from .messages import MAX_DATAGRAM_BYTES, DatagramCodec, DatagramError, SessionCounts, server_key
 from .settings import PeerSettings, SettingsFileError, load_keys
 
 if TYPE_CHECKING:
     from ..net.service import Service
 
 SECOND = 10_000
-COUNT_EVERY = SECOND
-AT_ONCE = 32  # datagrams taken in before others have their turn
-FULL_PAUSE = SECOND // 10  # past a second's datagrams the rest waits in the socket, or is lost there
+COUNT_INTERVAL = SECOND
+MAX_READS_PER_TURN = 32  # datagrams read before the loop serves its other sockets
+FLOOD_PAUSE = (
+    SECOND // 10
+)  # without reading, once the rate limit is reached; the socket buffers or loses the rest
 
 
-class Carrier:
-    """Raises OSError where the address can't be listened on."""
+class PeerTransport:
+    """Raises OSError if the address can't be bound."""
 
     def __init__(
-        self, service: "Service", stated: PeerSettings, system: System, name: str, seed: int
+        self, service: "Service", settings: PeerSettings, system: System, name: str, seed: int
     ) -> None:
         self.service = service
         self.loop = service.loop
-        self.stated = stated
-        self.envelope = Envelope(stated.fleet, list(stated.keys))
-        self.peers = Peers(
-            stated, name, seed, self.loop.now(), system.time_ns() // 1_000_000, service.site.replicas
+        self.settings = settings
+        self.codec = DatagramCodec(settings.fleet, list(settings.keys))
+        self.membership = Membership(
+            settings, name, seed, self.loop.now(), system.time_ns() // 1_000_000, service.site.replicas
         )
-        self.sock = system.datagram(stated.listen)
+        self.sock = system.datagram(settings.listen)
         self.sock.setblocking(False)
         self.loop.free -= 1
-        self.taken = Window(stated.take_most)
-        self.unusable: Counter[str] = Counter()
-        self.dials: deque[tuple[int, int]] = deque()  # how many were made, at each count
-        self.stopping = False
-        self.report_at = 0
+        self.receive_limit = SlidingWindow(settings.take_most)
+        self.dropped: Counter[str] = Counter()  # datagrams, by reason
+        self.dial_counts: deque[tuple[int, int]] = deque()  # time of a count and dials made until then
+        self.is_stopping = False
+        self.next_report_at = 0
         self.loop.watch(self.sock, 0, READ, self)
         self.tick()
-        self.count()
+        self.gather_counts()
 
-    def sum(self) -> Sum:
-        return self.peers.sum(self.loop.now())
+    def fleet_totals(self) -> FleetTotals:
+        return self.membership.fleet_totals(self.loop.now())
 
-    def tell(self, event: Event) -> None:
-        for action in self.peers.handle(self.loop.now(), event):
-            self.carry_out(action)
+    def handle_event(self, event: Event) -> None:
+        for action in self.membership.handle(self.loop.now(), event):
+            self.perform(action)
 
-    def carry_out(self, action: Action) -> None:
+    def perform(self, action: Action) -> None:
         if isinstance(action, Log):
             self.service.log("peers", text=action.text)
         elif isinstance(action, Send):
-            # What can't be sent is lost like any datagram.
+            # A send error is treated like a lost datagram.
             with contextlib.suppress(OSError):
-                self.sock.sendto(self.envelope.close(action.message), server_address(action.address))
+                self.sock.sendto(self.codec.seal(action.message), server_address(action.address))
 
     def ready(self, mask: int) -> None:
-        for _ in range(AT_ONCE):
-            if not self.taken.take(self.loop.now(), 1):
-                # Guards against a flood that takes the time of sessions: it is not even read.
+        for _ in range(MAX_READS_PER_TURN):
+            if not self.receive_limit.try_take(self.loop.now(), 1):
+                # Excess datagrams stay unread, so that a flood takes no time from the sessions.
                 self.loop.watch(self.sock, READ, 0, self)
-                self.loop.after(FULL_PAUSE, self.read_again)
-                self.unusable["flood"] += 1
-                self.tell(Deaf())
+                self.loop.after(FLOOD_PAUSE, self.resume_reading)
+                self.dropped["flood"] += 1
+                self.handle_event(ReceiveOverflow())
                 return
             try:
-                data = self.sock.recv(LARGEST + 1)
+                data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                continue  # what an earlier datagram met is told here
+                continue  # the pending error of a datagram sent earlier
             try:
-                message = self.envelope.open(data)
-            except Unusable as why:
-                self.unusable[str(why)] += 1
+                message = self.codec.open(data)
+            except DatagramError as error:
+                self.dropped[str(error)] += 1
                 continue
-            self.tell(Came(message, len(data)))
+            self.handle_event(MessageReceived(message, len(data)))
 
-    def read_again(self) -> None:
+    def resume_reading(self) -> None:
         if self.sock.fileno() >= 0:
             self.loop.watch(self.sock, 0, READ, self)
 
     def tick(self) -> None:
         self.loop.after(TICK, self.tick)
-        self.tell(Tick())
+        self.handle_event(Tick())
 
-    def count(self) -> None:
-        """Gathers what this balancer has; what others make of it is no concern of its own decisions."""
-        self.loop.after(COUNT_EVERY, self.count)
+    def gather_counts(self) -> None:
+        """Gathers this balancer's own counts for its peers; its own decisions never depend on them."""
+        self.loop.after(COUNT_INTERVAL, self.gather_counts)
         service, now = self.service, self.loop.now()
-        if service.stopping and not self.stopping:
-            self.stopping = True
-            self.tell(Leaving())
+        if service.stopping and not self.is_stopping:
+            self.is_stopping = True
+            self.handle_event(ShutdownStarted())
         window = service.site.fall_window
-        self.dials.append((now, service.dials))
-        while len(self.dials) > 1 and self.dials[1][0] <= now - window:
-            self.dials.popleft()
-        names = {at: name for name, at in service.kinds.items()}
+        self.dial_counts.append((now, service.dials))
+        while len(self.dial_counts) > 1 and self.dial_counts[1][0] <= now - window:
+            self.dial_counts.popleft()
+        kind_names = {index: name for name, index in service.kinds.items()}
         kinds: Counter[str] = Counter()
         servers: list[tuple[int, int]] = []
-        for ident, index in service.server_index.items():
-            server = service.servers[index]
+        for server_id, position in service.server_index.items():
+            server = service.servers[position]
             if server.standing:
-                kinds[names.get(server.entry.kind, "") if server.entry else ""] += len(server.standing)
-                servers.append((server_key(ident), len(server.standing)))
+                kinds[kind_names.get(server.entry.kind, "") if server.entry else ""] += len(server.standing)
+                servers.append((server_key(server_id), len(server.standing)))
         servers.sort(key=lambda one: (-one[1], one[0]))
-        most = self.stated.servers_most
-        self.tell(
-            Counted(
-                Counts(
+        max_listed = self.settings.servers_most
+        self.handle_event(
+            CountsUpdated(
+                SessionCounts(
                     version=1,
                     by_kind=sorted(kinds.items()),
-                    by_server=servers[:most],
-                    beyond=sum(count for _, count in servers[most:]),
-                    dials=service.dials - self.dials[0][1],
+                    by_server=servers[:max_listed],
+                    unlisted=sum(count for _, count in servers[max_listed:]),
+                    dials=service.dials - self.dial_counts[0][1],
                     draining=service.stopping,
                     list_version=service.follower.version,
                 )
             )
         )
-        self.report()
-
-    def report(self) -> None:
-        """What counted for nothing since the last line, every ten seconds."""
-        dropped = self.unusable + self.peers.counted
-        if dropped and self.loop.now() >= self.report_at:
-            self.report_at = self.loop.now() + 10 * SECOND
-            self.service.log("peers_dropped", **{why.replace(" ", "_"): n for why, n in dropped.items()})
-            self.unusable.clear()
-            self.peers.counted.clear()
+        self.report_dropped()
+
+    def report_dropped(self) -> None:
+        """Logs what was dropped since the last line, at most every ten seconds."""
+        dropped = self.dropped + self.membership.dropped
+        if dropped and self.loop.now() >= self.next_report_at:
+            self.next_report_at = self.loop.now() + 10 * SECOND
+            self.service.log(
+                "peers_dropped", **{reason.replace(" ", "_"): n for reason, n in dropped.items()}
+            )
+            self.dropped.clear()
+            self.membership.dropped.clear()
 
     def reload_keys(self) -> None:
-        """Keys are changed under way: the file is read again, a bad one changes nothing."""
+        """Reads the key file again, so that keys can be changed at run time; a bad file changes nothing."""
         try:
-            self.envelope.keys = load_keys(self.stated.key_path)
-        except SettingsFileError as why:
-            self.service.log("peer_keys_kept", why=str(why))
+            self.codec.keys = load_keys(self.settings.key_path)
+        except SettingsFileError as error:
+            self.service.log("peer_keys_kept", why=str(error))
             return
-        self.service.log("peer_keys", count=len(self.envelope.keys))
+        self.service.log("peer_keys", count=len(self.codec.keys))
