--- a/thymedeck/lab/play.py
+++ b/thymedeck/lab/play.py
@@ -177,7 +177,7 @@
         running = set(self.names) & stage.alive
         if isinstance(stage, Virtual):
             return all(
-                {peer.name for peer in stage.carriers[name].peers.here()} == running - {name}
+                {peer.name for peer in stage.carriers[name].membership.alive_peers()} == running - {name}
                 for name in running
             )
         return all(stage.here(name) == len(running) - 1 for name in running)
