--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -1,4 +1,4 @@
-"""Peers at a daemon's start: settings that can't be used end in one line, without them all is as it was."""
+"""Peers at a daemon's start: unusable settings are refused with one line, and peers change no decision."""
 
 import json
 import subprocess
@@ -25,23 +25,27 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    told = {"name": "b0", "listen": "127.0.0.1:7000", "discovery": "127.0.0.1:7500", "settings": SETTINGS}
-    (tmp_path / "b.json").write_text(json.dumps(told))
+    config = {"name": "b0", "listen": "127.0.0.1:7000", "discovery": "127.0.0.1:7500", "settings": SETTINGS}
+    (tmp_path / "b.json").write_text(json.dumps(config))
     (tmp_path / "peers.toml").write_text(PEERS)
     (tmp_path / "peers.key").touch(mode=0o600)
     (tmp_path / "peers.key").write_text(KEY + "\n")
     return tmp_path
 
 
-def thymedeck(folder: Path, command: str) -> subprocess.CompletedProcess:
-    call = [sys.executable, "-m", "thymedeck", command, "--config", folder / "b.json"]
+def run_thymedeck(folder: Path, command: str) -> subprocess.CompletedProcess:
+    command_line = [sys.executable, "-m", "thymedeck", command, "--config", folder / "b.json"]
     return subprocess.run(
-        [*call, "--peers", folder / "peers.toml"], capture_output=True, text=True, cwd=ROOT, timeout=60
+        [*command_line, "--peers", folder / "peers.toml"],
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        timeout=60,
     )
 
 
 @pytest.mark.parametrize(
-    "old, new, said",
+    "old, new, expected",
     [
         ('period = "1 s"', 'periods = "1 s"', "periods"),
         ('period = "1 s"', 'period = "1"', "period: '1'"),
@@ -59,102 +63,100 @@
         ('fleet = "f"', "fleet = f", "peers.toml"),
     ],
 )
-def test_a_wrong_file_gets_one_line_that_names_file_entry_and_reason(
-    folder: Path, old: str, new: str, said: str
+def test_a_wrong_settings_file_is_refused_with_file_entry_and_reason(
+    folder: Path, old: str, new: str, expected: str
 ) -> None:
     assert old in PEERS
     (folder / "peers.toml").write_text(PEERS.replace(old, new))
-    told = thymedeck(folder, "check")
-    assert told.returncode == 2 and told.stderr.count("\n") == 1
-    assert said in told.stderr and str(folder) in told.stderr
+    ended = run_thymedeck(folder, "check")
+    assert ended.returncode == 2 and ended.stderr.count("\n") == 1
+    assert expected in ended.stderr and str(folder) in ended.stderr
 
 
 @pytest.mark.parametrize(
-    "keys, mode, said",
+    "keys, mode, expected",
     [
         (KEY, 0o644, "644"), (KEY, 0o620, "620"), ("", 0o600, "0 keys"), ("xyz", 0o600, "not hexadecimal"),
         ("00", 0o600, "under 16"), (f"{KEY}\n{KEY}\n{KEY}", 0o600, "3 keys"),
     ],
 )  # fmt: skip
-def test_keys_that_can_not_be_used_are_told_of_and_never_shown(
-    folder: Path, keys: str, mode: int, said: str
-) -> None:
+def test_unusable_keys_are_refused_and_never_shown(folder: Path, keys: str, mode: int, expected: str) -> None:
     (folder / "peers.key").write_text(keys)
     (folder / "peers.key").chmod(mode)
-    told = thymedeck(folder, "serve")
-    assert told.returncode == 2 and said in told.stderr and told.stderr.count("\n") == 1
-    assert KEY not in told.stderr + told.stdout
+    ended = run_thymedeck(folder, "serve")
+    assert ended.returncode == 2 and expected in ended.stderr and ended.stderr.count("\n") == 1
+    assert KEY not in ended.stderr + ended.stdout
 
 
-def test_where_the_deployment_forbids_peers_the_start_ends_in_one_line(folder: Path) -> None:
-    told = json.loads((folder / "b.json").read_text())
-    told["settings"]["limits"] = told["settings"]["limits"] | {"peers": False}
-    (folder / "b.json").write_text(json.dumps(told))
-    ended = thymedeck(folder, "serve")
+def test_peers_are_refused_where_the_deployment_forbids_them(folder: Path) -> None:
+    config = json.loads((folder / "b.json").read_text())
+    config["settings"]["limits"] = config["settings"]["limits"] | {"peers": False}
+    (folder / "b.json").write_text(json.dumps(config))
+    ended = run_thymedeck(folder, "serve")
     assert ended.returncode == 2 and "forbid peers" in ended.stderr and ended.stderr.count("\n") == 1
 
 
-def test_the_example_can_be_used_and_shows_what_holds_without_it(folder: Path) -> None:
+def test_the_example_file_is_valid_and_shows_the_defaults(folder: Path) -> None:
     (folder / "peers.toml").write_text((ROOT / "deploy" / "peers.toml").read_text())
-    assert thymedeck(folder, "check").returncode == 0
-    shown = load_peer_settings(str(folder / "peers.toml"))
+    assert run_thymedeck(folder, "check").returncode == 0
+    from_example = load_peer_settings(str(folder / "peers.toml"))
     (folder / "peers.toml").write_text(PEERS.replace('"f"', '"muscat"'))
-    plain = load_peer_settings(str(folder / "peers.toml"))
-    for name in plain.__struct_fields__:
-        assert name == "join" or getattr(shown, name) == getattr(plain, name)
+    defaults = load_peer_settings(str(folder / "peers.toml"))
+    for name in defaults.__struct_fields__:
+        assert name == "join" or getattr(from_example, name) == getattr(defaults, name)
 
 
 @pytest.mark.parametrize("text, value", [("300 ms", 3000), ("1.5 s", 15_000), ("2min", 1_200_000)])
-def test_figures_have_units(text: str, value: int) -> None:
+def test_quantities_have_units(text: str, value: int) -> None:
     assert parse_quantity(text, {"ms": 10, "s": 10_000, "min": 600_000}) == value
 
 
 def test_decisions_are_the_same_with_peers_on_and_off() -> None:
-    """What every module was told and answered, with its time, in a play with drains and a death."""
+    """Compares every event and action of the decisions, with its time, in a run with drains and a death."""
     scenario = read_scenario(str(ROOT / "tests" / "scenarios" / "lab" / "calm.toml"))
     scenario.agree_within = 0
-    plays = []
+    recordings = []
     for peers in (False, True):
         scenario.sheet.fleet.peers = peers
         run = Run(scenario, 7, False)
-        start, told = run.stage.start, []
+        start, events = run.stage.start, []
 
-        def watched(name: str, start=start, stage=run.stage, told=told) -> None:  # noqa: ANN001
+        def start_recorded(name: str, start=start, stage=run.stage, events=events) -> None:  # noqa: ANN001
             start(name)
             balancer = stage.services[name].balancer
             handle = balancer.handle
 
-            def noted(now: int, event: object) -> list:
+            def handle_recorded(now: int, event: object) -> list:
                 actions = handle(now, event)
-                told.append((name, now, repr(event), repr(actions)))
+                events.append((name, now, repr(event), repr(actions)))
                 return actions
 
-            balancer.handle = noted
+            balancer.handle = handle_recorded
 
-        run.stage.start = watched
+        run.stage.start = start_recorded
         run.play()
-        plays.append((told, run.stage.record.as_bytes()))
+        recordings.append((events, run.stage.record.as_bytes()))
         assert bool(run.stage.carriers) is peers
-    assert len(plays[0][0]) > 2000
-    assert plays[0] == plays[1]
+    assert len(recordings[0][0]) > 2000
+    assert recordings[0] == recordings[1]
 
 
-def test_a_flood_takes_a_bounded_part_of_the_time(folder: Path) -> None:
-    """On a stage with one balancer: nothing is read past the second's share."""
+def test_reading_is_rate_limited_in_a_flood(folder: Path) -> None:
+    """A balancer on the virtual stage reads at most its limit of datagrams a second, plus a small margin."""
     from thymedeck.lab.play import settings
 
     stage = Virtual(1, settings(1, ["m1"], ["a"]), {})
     stage.start("b0")
     stage.run(SECOND)
-    carrier = stage.carriers["b0"]
-    from_ = stage.ground.datagram(("10.3.0.1", 9))
+    transport = stage.carriers["b0"]
+    sender = stage.ground.datagram(("10.3.0.1", 9))
     reads = []
-    recv = carrier.sock.recv
-    carrier.sock.recv = lambda most: (reads.append(stage.now()), recv(most))[1]
+    recv = transport.sock.recv
+    transport.sock.recv = lambda size: (reads.append(stage.now()), recv(size))[1]
     for _ in range(100):
         for _ in range(200):
-            from_.sendto(bytes(100), carrier.sock.name)
+            sender.sendto(bytes(100), transport.sock.name)
         stage.run(SECOND // 20)
-    assert carrier.dropped["flood"] or any(e["event"] == "peers_dropped" for e in stage.log("b0"))
-    assert carrier.membership.verdicts_paused_until > stage.loop.now()
+    assert transport.dropped["flood"] or any(e["event"] == "peers_dropped" for e in stage.log("b0"))
+    assert transport.membership.verdicts_paused_until > stage.loop.now()
     assert max(sum(at - SECOND < one <= at for one in reads) for at in reads[::50]) <= 500 + 40
--- a/thymedeck/peers/membership.py
+++ b/thymedeck/peers/membership.py
@@ -53,14 +53,16 @@
 # Times are in tenths of a millisecond unless the name tells another unit.
 TICK = SECOND // 10
 STALL_THRESHOLD = SECOND // 2  # a tick that is this late shows that this process was stalled
-VERDICT_PAUSE = 2 * SECOND  # for so long after a stall, failed probes of peers don't count
+VERDICT_PAUSE = 2 * SECOND  # after a stall or a flood: failed probes don't count, no peer is declared dead
 PROCESS_START_MS = 100  # processes of one name that start this far apart have different incarnations
 PROCESS_SPAN = 100_000  # incarnations of one process, of which each refutation takes the next
 REFUTE_INTERVAL = SECOND
 INDIRECT_PROBES = 3  # peers asked for an indirect probe
 FAILURES_ALONE = 4  # failed probes required where nobody else suspects the peer; one where others do
 MIN_SUSPECTERS = 2  # other peers that have to suspect it for their suspicions to count
-SUSPICION_TIMEOUT_PER_ROUND = SECOND * 3 // 20  # of gossip: a suspicion and its refutation have to spread
+SUSPICION_TIMEOUT_PER_ROUND = (
+    SECOND * 3 // 20
+)  # a rumour has to reach the suspect, and its proof to come back
 # When a rumour is checked by a probe, as parts of the suspicion timeout: by then most refutations have come.
 RUMOUR_PROBE_FROM, RUMOUR_PROBE_TO = 0.25, 0.5
 # After so many verdicts of death within this time, this balancer itself is probably the one cut off, and the
@@ -84,8 +86,8 @@
 REJOIN_INTERVAL = 30 * SECOND  # for addresses of the join list that no known peer has
 MAX_CANDIDATE_PINGS = 4
 TYPICAL_DATAGRAM_BYTES = 200  # rumours are added up to this size
-RUMOUR_REPEATS = 3  # more than one receiver checks a rumour and repeats it in turn
-PROOF_REPEATS = 5
+RUMOUR_REPEATS = 3  # times that a balancer sends a rumour; several receivers verify it and send it in turn
+PROOF_REPEATS = 5  # the same for a liveness proof
 REQUESTS_PER_PROBE = 20  # proof requests added to a probe
 MAX_PROOF_REQUESTS = 60  # in a probe of a peer that has come back: others may have come back with it
 MAX_PROOFS_ANSWERED = 60
@@ -495,10 +497,7 @@
             self.apply_liveness_proofs(message.liveness_proofs, peer)
         peer.incarnation = max(peer.incarnation, message.incarnation)
         if message.chain_link:
-            peer.chain_link, peer.link_number = (
-                message.chain_link,
-                message.incarnation % PROCESS_SPAN,
-            )
+            peer.chain_link, peer.link_number = message.chain_link, message.incarnation % PROCESS_SPAN
         if message.issued_token:
             peer.token = message.issued_token
         was_dead = peer.is_dead
@@ -507,6 +506,7 @@
             if request[:CHAIN_KEY_BYTES] == self.chain_key and not steps_ahead(
                 request[CHAIN_KEY_BYTES], self.incarnation % PROCESS_SPAN
             ):
+                # A request that lags behind the current link only needs the latest proof again.
                 self.on_own_suspicion(
                     self.incarnation
                     if request == proof_request(self.chain_key, self.incarnation % PROCESS_SPAN)
@@ -556,8 +556,7 @@
             peer.link_number += steps
             peer.chain_link = one[CHAIN_KEY_BYTES + 1 :]
             peer.incarnation = max(
-                peer.incarnation,
-                peer.incarnation // PROCESS_SPAN * PROCESS_SPAN + peer.link_number,
+                peer.incarnation, peer.incarnation // PROCESS_SPAN * PROCESS_SPAN + peer.link_number
             )
             was_doubted = peer.suspected_since >= 0 or peer.is_dead
             self.mark_alive(peer)
