--- a/thymedeck/peers/membership.py
+++ b/thymedeck/peers/membership.py
@@ -325,7 +325,7 @@
         self.actions.append(Send(address, message))
         return True
 
-    def transmit_probe(
+    def transmit_now(
         self, address: str, kind: MessageKind, token: bytes, fields: dict, reserve: float = 0.0
     ) -> bool:
         """Sends now or not at all; whether it was sent.
@@ -415,7 +415,7 @@
     def send_ping(
         self, address: str, token: bytes, nonce: int, reserve: float = 0.0, **fields: object
     ) -> bool:
-        return self.transmit_probe(
+        return self.transmit_now(
             address, MessageKind.PING, token, self.own_contact(address) | {"nonce": nonce} | fields, reserve
         )
 
@@ -764,7 +764,7 @@
                 self.now, 1
             ):
                 # The suspicion is already refuted; the sender has missed the proof.
-                self.transmit_probe(
+                self.transmit_now(
                     sender.address,
                     MessageKind.COUNTS,
                     sender.token,
@@ -1008,7 +1008,7 @@
             ]
             fields = {"nonce": peer.nonce, "target": peer.name}
             for helper in self.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
-                peer.has_indirect_probes |= self.transmit_probe(
+                peer.has_indirect_probes |= self.transmit_now(
                     helper.address, MessageKind.ASK, helper.token, fields
                 )
             if helpers and not peer.has_indirect_probes:
