--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -92,8 +92,8 @@
     talk.run(15 * SECOND)
     total = sum(truth.held.total() for truth in talk.truths.values())
     for node in talk.nodes.values():
-        told = node.fleet_totals(talk.now)
-        assert (told.coverage, sum(told.by_kind.values())) == (1.0, total)
+        totals = node.fleet_totals(talk.now)
+        assert (totals.coverage, sum(totals.by_kind.values())) == (1.0, total)
     check_limits(talk)
 
 
@@ -487,7 +487,7 @@
         lambda patch: patch.setattr(Membership, "apply_liveness_proofs", lambda node, proofs, relay: None),
         test_a_relayed_liveness_proof_refutes_a_suspicion,
     ),
-    "verdicts are not paused after a stall": (
+    "failure detection is not paused after a stall": (
         lambda patch: patch.setattr(Membership, "on_stall", lambda node, late_by: None),
         test_stalled_balancers_declare_nobody_dead,
     ),
--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -158,5 +158,5 @@
             sender.sendto(bytes(100), transport.sock.name)
         stage.run(SECOND // 20)
     assert transport.dropped["flood"] or any(e["event"] == "peers_dropped" for e in stage.log("b0"))
-    assert transport.membership.verdicts_paused_until > stage.loop.now()
+    assert transport.membership.detection_paused_until > stage.loop.now()
     assert max(sum(at - SECOND < one <= at for one in reads) for at in reads[::50]) <= 500 + 40
--- a/thymedeck/peers/membership.py
+++ b/thymedeck/peers/membership.py
@@ -53,7 +53,7 @@
 # Times are in tenths of a millisecond unless the name tells another unit.
 TICK = SECOND // 10
 STALL_THRESHOLD = SECOND // 2  # a tick that is this late shows that this process was stalled
-VERDICT_PAUSE = 2 * SECOND  # after a stall or a flood: failed probes don't count, no peer is declared dead
+DETECTION_PAUSE = 2 * SECOND  # after a stall or a flood: failed probes don't count, no peer is declared dead
 PROCESS_START_MS = 100  # processes of one name that start this far apart have different incarnations
 PROCESS_SPAN = 100_000  # incarnations of one process, of which each refutation takes the next
 REFUTE_INTERVAL = SECOND
@@ -65,7 +65,7 @@
 )  # a rumour has to reach the suspect, and its proof to come back
 # When a rumour is checked by a probe, as parts of the suspicion timeout: by then most refutations have come.
 RUMOUR_PROBE_FROM, RUMOUR_PROBE_TO = 0.25, 0.5
-# After so many verdicts of death within this time, this balancer itself is probably the one cut off, and the
+# After so many peers declared dead within this time, this balancer itself is probably the one cut off, and the
 # others hold it dead: it then releases a liveness proof unasked.
 MANY_DEATHS = 3
 MANY_DEATHS_WITHIN = 5 * SECOND
@@ -227,7 +227,7 @@
         self.send_limit = SlidingWindow(settings.send_most)
         self.unknown_sender_limit = SlidingWindow(max(int(settings.take_most * UNKNOWN_SENDER_SHARE), 1))
         self.last_tick_at = now
-        self.verdicts_paused_until = now
+        self.detection_paused_until = now
         self.next_probe_at = now + int(self.uniform(0, settings.period))
         self.next_join_at = now
         self.join_attempts = 0
@@ -558,10 +558,10 @@
             peer.incarnation = max(
                 peer.incarnation, peer.incarnation // PROCESS_SPAN * PROCESS_SPAN + peer.link_number
             )
-            was_doubted = peer.suspected_since >= 0 or peer.is_dead
+            was_suspected = peer.suspected_since >= 0 or peer.is_dead
             self.mark_alive(peer)
             self.queue_proof(peer.chain_key, PROOF_REPEATS)
-            if was_doubted:
+            if was_suspected:
                 self.send_urgent()
 
     def queue_proof(self, key: bytes, repeats: int) -> None:
@@ -918,7 +918,7 @@
 
     def on_stall(self, late_by: int) -> None:
         """Restarts all probes, so that no peer is declared dead for the time in which this process hung."""
-        self.verdicts_paused_until = self.now + VERDICT_PAUSE
+        self.detection_paused_until = self.now + DETECTION_PAUSE
         for peer in self.probing.values():
             peer.nonce = 0
             peer.probe_due_at = -1
@@ -926,15 +926,15 @@
             peer.failed_probes = 0
         self.indirect_probes.clear()
         self.log_limited(
-            f"late by {late_by / SECOND:.1f} s; no peer is declared dead for {VERDICT_PAUSE // SECOND} s",
+            f"late by {late_by / SECOND:.1f} s; no peer is declared dead for {DETECTION_PAUSE // SECOND} s",
             "stall",
         )
 
     def on_receive_overflow(self, event: ReceiveOverflow) -> None:
-        """Pauses the verdicts: answers of peers may have been lost in the flood."""
-        self.verdicts_paused_until = self.now + VERDICT_PAUSE
+        """Pauses failure detection: answers of peers may have been lost in the flood."""
+        self.detection_paused_until = self.now + DETECTION_PAUSE
         self.log_limited(
-            f"datagram flood; no peer is declared dead until {VERDICT_PAUSE // SECOND} s after it", "flood"
+            f"datagram flood; no peer is declared dead until {DETECTION_PAUSE // SECOND} s after it", "flood"
         )
 
     def probe_next(self) -> None:
@@ -1018,7 +1018,7 @@
 
     def on_probe_failed(self, peer: Peer) -> None:
         peer.nonce = 0
-        if self.now < self.verdicts_paused_until:
+        if self.now < self.detection_paused_until:
             return
         peer.failed_probes += 1
         if peer.suspected_since < 0 and peer.failed_probes <= self.expected_losses():
@@ -1040,7 +1040,7 @@
             self.schedule_probe(peer, len(self.peers) * REPROBE_SPREAD_PER_PEER)
         elif (
             self.now - peer.suspected_since >= self.suspicion_timeout()
-            and self.now >= self.verdicts_paused_until
+            and self.now >= self.detection_paused_until
         ):
             self.declare_dead(peer)
 
--- a/thymedeck/peers/messages.py
+++ b/thymedeck/peers/messages.py
@@ -31,9 +31,9 @@
 
 class RumourStatus(IntEnum):
     ALIVE = 0
-    SUSPECT = 1  # the teller's own probes failed
-    DEAD = 2  # the teller's own verdict
-    RELAYED_SUSPECT = 3  # a suspicion of another balancer, passed on; it doesn't count as one of the teller
+    SUSPECT = 1  # the sender's own probes failed
+    DEAD = 2  # declared by the sender itself
+    RELAYED_SUSPECT = 3  # a suspicion relayed for another balancer; it doesn't count as the sender's own
 
 
 class Rumour(msgspec.Struct, array_like=True, frozen=True):
