--- a/thymedeck/peers/membership.py
+++ b/thymedeck/peers/membership.py
@@ -65,7 +65,7 @@
 )  # a rumour has to reach the suspect, and its proof to come back
 # When a rumour is checked by a probe, as parts of the suspicion timeout: by then most refutations have come.
 RUMOUR_PROBE_FROM, RUMOUR_PROBE_TO = 0.25, 0.5
-# After so many peers declared dead within this time, this balancer itself is probably the one cut off, and the
+# After so many deaths within this time, this balancer itself is probably the one that is cut off, and the
 # others hold it dead: it then releases a liveness proof unasked.
 MANY_DEATHS = 3
 MANY_DEATHS_WITHIN = 5 * SECOND
