--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -10,8 +10,8 @@
 from thymedeck.lab.play import ScenarioRun, deployment_settings
 from thymedeck.lab.scenario import read_scenario
 from thymedeck.lab.stage import SECOND, SHARED_KEY, FakePeer, ProcessTestbed
-from thymedeck.peers.messages import Counts, Kind, Rumour, Told
-from thymedeck.peers.stated import Unfit
+from thymedeck.peers.messages import MessageKind, Rumour, RumourStatus, SessionCounts
+from thymedeck.peers.settings import SettingsFileError
 
 SCENARIOS = Path(__file__).parent / "scenarios" / "lab"
 NEW_KEY = "ff" * 16
@@ -60,17 +60,19 @@
         assert testbed.run_until(
             lambda: all(testbed.live_peer_count(name) == 8 for name in names), 20 * SECOND
         )
-        assert testbed.run_until(lambda: len(fake_peer.peers.ledger.heard) == 8, 10 * SECOND)
+        assert testbed.run_until(lambda: len(fake_peer.peers.counts_table.received) == 8, 10 * SECOND)
         honest_peers = list(fake_peer.peers.peers.values())
         for round_number in range(60):
             for peer in honest_peers:
                 rumours = [
-                    Rumour(Told.GONE, one.name, one.incarnation) for one in honest_peers if one is not peer
+                    Rumour(RumourStatus.DEAD, one.name, one.incarnation)
+                    for one in honest_peers
+                    if one is not peer
                 ]
-                fake_peer.send_forged(peer, Kind.ACK, rumours=rumours)
-                false_counts = Counts(10**9, [("m1", 10**6)])
+                fake_peer.send_forged(peer, MessageKind.ACK, rumours=rumours)
+                false_counts = SessionCounts(10**9, [("m1", 10**6)])
                 fake_peer.send_forged(
-                    peer, Kind.COUNTS, name=honest_peers[round_number % 8].name, counts=false_counts
+                    peer, MessageKind.COUNTS, name=honest_peers[round_number % 8].name, counts=false_counts
                 )
                 for _ in range(40):
                     fake_peer.send_raw(peer.address, os.urandom(200))
@@ -79,7 +81,7 @@
         peers_texts = [
             entry["text"] for name in names for entry in testbed.log(name) if entry["event"] == "peers"
         ]
-        assert any("g0 is not heeded" in text for text in peers_texts)
+        assert any("g0 is ignored" in text for text in peers_texts)
         drop_entries = [
             entry for name in names for entry in testbed.log(name) if entry["event"] == "peers_dropped"
         ]
@@ -107,7 +109,7 @@
             lambda: (
                 any(name_taken in e.get("text", "") for e in testbed.log("b8"))
                 or any(
-                    "two balancers call themselves b2" in e.get("text", "")
+                    "two balancers use the name b2" in e.get("text", "")
                     for n in names
                     for e in testbed.log(n)
                 )
@@ -206,7 +208,7 @@
     assert change[0] in text
     path = tmp_path / "wrong.toml"
     path.write_text(text.replace(*change, 1))
-    with pytest.raises(Unfit, match="wrong.toml"):
+    with pytest.raises(SettingsFileError, match="wrong.toml"):
         read_scenario(str(path))
     import sys
 
--- a/thymedeck/configuration/settings.py
+++ b/thymedeck/configuration/settings.py
@@ -1,6 +1,6 @@
 """Reads the settings of the replicated configuration: strict TOML, times with units. Not used by `serve` yet.
 
-Raises Unfit with one line that names the file, the entry and the reason.
+Raises SettingsFileError with one line that names the file, the entry and the reason.
 """
 
 from functools import partial
@@ -9,7 +9,14 @@
 import msgspec
 
 from ..net.told import server_address
-from ..peers.stated import TIMES, Unfit, check_least, entry_of, figure, sheet_of
+from ..peers.settings import (
+    TIME_UNITS,
+    SettingsFileError,
+    check_minimum,
+    load_toml,
+    parse_entry,
+    parse_quantity,
+)
 from .messages import Parameters
 
 MIN_KEEPERS = 3
@@ -38,26 +45,29 @@
 
 
 def read_settings(path: str) -> Settings:
-    """Raises Unfit."""
-    file: SettingsFile = sheet_of(path, SettingsFile)
+    """Raises SettingsFileError."""
+    file: SettingsFile = load_toml(path, SettingsFile)
 
-    parse = partial(entry_of, path, file)
-    times = {name: parse(name, figure, TIMES) for name in Parameters.__struct_fields__ if name != "refusers"}
+    parse = partial(parse_entry, path, file)
+    times = {
+        name: parse(name, parse_quantity, TIME_UNITS)
+        for name in Parameters.__struct_fields__
+        if name != "refusers"
+    }
     parameters = Parameters(**times, refusers=file.refusers)
     keepers = parse(
-        "keepers",
-        lambda listed: tuple("{}:{}".format(*server_address(address)) for address in listed),
+        "keepers", lambda listed: tuple("{}:{}".format(*server_address(address)) for address in listed)
     )
     if len(keepers) < MIN_KEEPERS:
-        raise Unfit(
+        raise SettingsFileError(
             f"{path}: keepers: {len(keepers)}, at least {MIN_KEEPERS} are needed to survive the loss of one"
         )
     if len(set(keepers)) < len(keepers):
-        raise Unfit(f"{path}: keepers: an address is listed twice")
+        raise SettingsFileError(f"{path}: keepers: an address is listed twice")
     if not file.saved:
-        raise Unfit(f"{path}: saved: the path is empty")
+        raise SettingsFileError(f"{path}: saved: the path is empty")
     if file.refusers < 1:
-        raise Unfit(f"{path}: refusers: {file.refusers} is less than 1")
+        raise SettingsFileError(f"{path}: refusers: {file.refusers} is less than 1")
     # A follower whose poll was just answered may next have to poll each keeper in turn: the last answer has
     # to arrive in time.
     poll_round = parameters.ask_every + len(keepers) * parameters.answer_within
@@ -67,5 +77,5 @@
         ("fresh_for", 2 * parameters.read_every, "is less than twice read_every"),
         ("give_up_after", parameters.in_force_within, "is less than in_force_within"),
     ):
-        check_least(path, file, parameters, name, minimum, reason)
+        check_minimum(path, file, parameters, name, minimum, reason)
     return Settings(keepers, Path(path).parent / file.saved, parameters)
--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -3,7 +3,7 @@
 import argparse
 import sys
 
-from ..peers.stated import Unfit
+from ..peers.settings import SettingsFileError
 from . import cold, configuration_scenarios, membership
 from .measure import measure_processes
 from .play import ScenarioRun
@@ -95,7 +95,7 @@
 def run_scenario(arguments: argparse.Namespace) -> int:
     try:
         scenario = read_scenario(arguments.scenario)
-    except Unfit as error:
+    except SettingsFileError as error:
         print(f"thymedeck.lab: {error}", file=sys.stderr)
         return 2
     seed = scenario.spec.seed if arguments.seed is None else arguments.seed
--- a/thymedeck/lab/membership.py
+++ b/thymedeck/lab/membership.py
@@ -15,10 +15,10 @@
 
 from msgspec import Struct
 
-from ..peers.messages import Counts, Envelope, Unusable
-from ..peers.node import TICK, Peer, Peers
-from ..peers.stated import Stated
-from ..peers.words import Came, Counted, Event, Leaving, Log, Send, Tick
+from ..peers.events import CountsUpdated, Event, Log, MessageReceived, Send, ShutdownStarted, Tick
+from ..peers.membership import TICK, Membership, Peer
+from ..peers.messages import DatagramCodec, DatagramError, SessionCounts
+from ..peers.settings import PeerSettings
 from .faults import Fault, FaultInjector
 
 SECOND = 10_000
@@ -30,15 +30,15 @@
 MAX_TICK_DELAY = 20  # a tick comes up to this late
 
 
-def peer_settings(index: int, join: tuple[str, ...] = (), **overrides: object) -> Stated:
+def peer_settings(index: int, join: tuple[str, ...] = (), **overrides: object) -> PeerSettings:
     """The settings of the example file, with an address of the peer's own."""
     values = {
         "fleet": "lab", "listen": ("127.0.0.1", 7946), "advertise": peer_address(index), "join": join,
-        "keys": KEYS, "keys_from": Path("none"), "period": SECOND, "answer_within": 3_000,
+        "keys": KEYS, "key_path": Path("none"), "period": SECOND, "answer_within": 3_000,
         "notice_within": 5 * SECOND, "forget_after": 90 * SECOND, "send_most": 2_000, "take_most": 500,
         "peers_most": 1_000, "servers_most": 120,
     }  # fmt: skip
-    return Stated(**(values | overrides))
+    return PeerSettings(**(values | overrides))
 
 
 def peer_address(index: int) -> str:
@@ -53,7 +53,7 @@
         self.servers = servers
         self.by_server: Counter[int] = Counter(rng.randrange(servers) for _ in range(8))
 
-    def update(self) -> Counts:
+    def update(self) -> SessionCounts:
         """Opens or closes one session; returns the counts that the balancer reports."""
         if self.rng.random() < 0.5:
             self.by_server[self.rng.randrange(self.servers)] += 1
@@ -64,7 +64,7 @@
         kinds = Counter()
         for server, count in self.by_server.items():
             kinds["full" if server % 2 else "half"] += count
-        return Counts(1, sorted(kinds.items()), sorted(self.by_server.items()), list_version=1)
+        return SessionCounts(1, sorted(kinds.items()), sorted(self.by_server.items()), list_version=1)
 
 
 class MembershipSimulation:
@@ -84,8 +84,8 @@
         self.servers = servers
         self.overrides = overrides
         self.join = tuple(peer_address(index) for index in range(min(JOIN_ADDRESSES, balancers)))
-        self.nodes: dict[str, Peers] = {}
-        self.envelopes: dict[str, Envelope] = {}
+        self.nodes: dict[str, Membership] = {}
+        self.envelopes: dict[str, DatagramCodec] = {}
         self.actual_sessions: dict[str, ActualSessions] = {}
         self.key_by_address: dict[str, str] = {}
         self.killed: set[str] = set()
@@ -96,14 +96,14 @@
         for index in range(balancers):
             self.start(f"b{index}", peer_address(index))
 
-    def start(self, name: str, address: str, unix_ms: int = 0) -> Peers:
+    def start(self, name: str, address: str, unix_ms: int = 0) -> Membership:
         """Starts a peer, or restarts it under the same name."""
         settings = peer_settings(0, self.join, **(self.overrides | {"advertise": address}))
         unix = unix_ms or START_UNIX_MS + (self.now - START_TIME) // 10
-        node = Peers(settings, name, self.rng.getrandbits(60), self.now, unix, self.size)
+        node = Membership(settings, name, self.rng.getrandbits(60), self.now, unix, self.size)
         key = address
         self.nodes[key] = node
-        self.envelopes[key] = Envelope("lab", list(KEYS))
+        self.envelopes[key] = DatagramCodec("lab", list(KEYS))
         self.actual_sessions[key] = ActualSessions(random.Random(self.rng.getrandbits(60)), self.servers)
         self.key_by_address[address] = key
         self.killed.discard(key)
@@ -117,20 +117,20 @@
         for address, node in self.nodes.items():
             for other in self.nodes.values():
                 if other is not node:
-                    peer = Peer(other.name, other.stated.advertise, other.incarnation, self.now)
-                    peer.token, peer.link = other.token_for(address), other.chain.link(0)
-                    node.peers[peer.name] = node.by_key[peer.key] = peer
-                    node.telling.append(peer)
-            self.rng.shuffle(node.telling)
+                    peer = Peer(other.name, other.settings.advertise, other.incarnation, self.now)
+                    peer.token, peer.chain_link = other.token_for(address), other.chain.link(0)
+                    node.peers[peer.name] = node.by_chain_key[peer.chain_key] = peer
+                    node.counts_queue.append(peer)
+            self.rng.shuffle(node.counts_queue)
 
     def schedule(self, delay: int, callback: Callable[[], None]) -> None:
         self.event_count += 1
         heapq.heappush(self.heap, (self.now + delay, self.event_count, callback))
 
-    def node(self, index: int) -> Peers:
+    def node(self, index: int) -> Membership:
         return self.nodes[peer_address(index)]
 
-    def alive(self) -> dict[str, Peers]:
+    def alive(self) -> dict[str, Membership]:
         return {key: node for key, node in self.nodes.items() if key not in self.killed}
 
     def kill(self, index: int) -> None:
@@ -146,17 +146,17 @@
 
     # Events
 
-    def tick(self, key: str, node: Peers) -> None:
+    def tick(self, key: str, node: Membership) -> None:
         if self.nodes[key] is node and key not in self.killed:
             self.handle(key, node, Tick())
             self.schedule(TICK + self.rng.randrange(MAX_TICK_DELAY), lambda: self.tick(key, node))
 
-    def update_counts(self, key: str, node: Peers) -> None:
+    def update_counts(self, key: str, node: Membership) -> None:
         if self.nodes[key] is node and key not in self.killed:
-            self.handle(key, node, Counted(self.actual_sessions[key].update()))
+            self.handle(key, node, CountsUpdated(self.actual_sessions[key].update()))
             self.schedule(SECOND, lambda: self.update_counts(key, node))
 
-    def handle(self, key: str, node: Peers, event: Event) -> None:
+    def handle(self, key: str, node: Membership, event: Event) -> None:
         """Passes an event to a peer and carries out its actions; a frozen peer gets it when it wakes."""
         if self.frozen_until.get(key, 0) > self.now:
             self.schedule(self.frozen_until[key] - self.now, lambda: self.handle(key, node, event))
@@ -164,7 +164,7 @@
         begin = time.process_time()
         actions = node.handle(self.now, event)
         datagrams = [
-            (action.address, self.envelopes[key].close(action.message))
+            (action.address, self.envelopes[key].seal(action.message))
             for action in actions
             if isinstance(action, Send)
         ]
@@ -190,16 +190,16 @@
         begin = time.process_time()
         try:
             message = self.envelopes[key].open(data)
-        except Unusable as error:
-            node.count(str(error))
+        except DatagramError as error:
+            node.count_dropped(str(error))
             return
         finally:
             self.cpu_seconds += time.process_time() - begin
-        self.handle(key, node, Came(message, len(data)))
+        self.handle(key, node, MessageReceived(message, len(data)))
 
     def leave(self, index: int) -> None:
         key = peer_address(index)
-        self.handle(key, self.nodes[key], Leaving())
+        self.handle(key, self.nodes[key], ShutdownStarted())
 
     def run(self, duration: int) -> None:
         end = self.now + duration
@@ -224,14 +224,14 @@
         alive = self.alive()
         names = {node.name for node in alive.values()}
         return all(
-            {peer.name for peer in node.peers.values() if not peer.gone} == names - {node.name}
+            {peer.name for peer in node.peers.values() if not peer.is_dead} == names - {node.name}
             for node in alive.values()
         )
 
     def count_holders(self, name: str) -> int:
         """How many of the other running peers consider this one to be alive."""
         return sum(
-            name in node.peers and not node.peers[name].gone
+            name in node.peers and not node.peers[name].is_dead
             for node in self.alive().values()
             if node.name != name
         )
@@ -240,7 +240,7 @@
         """How many pairs there are in which a running peer considers another running peer to be gone."""
         running = {node.name for node in self.alive().values()}
         return sum(
-            peer.gone and peer.name in running
+            peer.is_dead and peer.name in running
             for node in self.alive().values()
             for peer in node.peers.values()
         )
@@ -254,7 +254,8 @@
         alive = self.alive()
         actual = sum(self.actual_sessions[key].by_server.total() for key in alive)
         return [
-            abs(sum(node.sum(self.now).by_kind.values()) - actual) / max(actual, 1) for node in alive.values()
+            abs(sum(node.fleet_totals(self.now).by_kind.values()) - actual) / max(actual, 1)
+            for node in alive.values()
         ]
 
 
@@ -342,7 +343,7 @@
             ]
             balancer_seconds = balancers * (simulation.now - begin) / SECOND
             sum_error = statistics.median(simulation.sum_errors())
-            sums = [node.sum(simulation.now) for node in simulation.alive().values()]
+            sums = [node.fleet_totals(simulation.now) for node in simulation.alive().values()]
     simulation.run(60 * SECOND)
     victim = balancers // 2
     simulation.kill(victim)
@@ -360,8 +361,8 @@
     return Measurements(
         balancers, met / SECOND, join / SECOND, known_to_half / SECOND, known_to_all / SECOND, heal / SECOND,
         *false_reports, sum_error=sum_error,
-        oldest=statistics.median(total.oldest for total in sums) / SECOND,
-        covered=min(total.part for total in sums),
+        oldest=statistics.median(total.oldest_age for total in sums) / SECOND,
+        covered=min(total.coverage for total in sums),
         mean_bytes=sum(size for _, size in datagrams) / balancer_seconds,
         peak_bytes=simulation.peak_bytes_per_second(), datagrams=len(datagrams) / balancer_seconds, core=core,
     )  # fmt: skip
--- a/thymedeck/lab/play.py
+++ b/thymedeck/lab/play.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct, structs
 
-from ..peers.stated import RATES, TIMES, figure
+from ..peers.settings import RATE_UNITS, TIME_UNITS, parse_quantity
 from . import checks
 from .scenario import Scenario, TimedAction
 from .stage import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
@@ -71,13 +71,13 @@
         for group in spec.servers:
             for _ in range(group.count):
                 server_id = f"s{len(listed)}"
-                testbed.add_server(server_id, limit=group.limit, work=figure(group.work, TIMES))
+                testbed.add_server(server_id, limit=group.limit, work=parse_quantity(group.work, TIME_UNITS))
                 listed.append(ListedServer(server_id, zone=group.zone, kind=group.kind))
         testbed.list_service.update_servers(*listed)
         if spec.list_service.known:
             testbed.known_servers = listed
         if spec.list_service.capacity:
-            testbed.list_service.capacity = figure(spec.list_service.capacity, RATES)
+            testbed.list_service.capacity = parse_quantity(spec.list_service.capacity, RATE_UNITS)
             testbed.list_service.refusal_cost = spec.list_service.refusal_cost
         for name in self.names:
             testbed.start(name)
@@ -93,10 +93,10 @@
                 for fault in scenario.faults
             ]
             for index, group in enumerate(scenario.spec.clients):
-                rate = figure(group.rate, RATES)
+                rate = parse_quantity(group.rate, RATE_UNITS)
                 testbed.add_clients(
-                    self.seed * 1000 + index, rate, figure(group.life, TIMES), tuple(group.classes),
-                    figure(group.deadline, TIMES),
+                    self.seed * 1000 + index, rate, parse_quantity(group.life, TIME_UNITS),
+                    tuple(group.classes), parse_quantity(group.deadline, TIME_UNITS),
                 )  # fmt: skip
             for at, action in scenario.actions:
                 testbed.run(max(begin + at - testbed.now(), 0))
@@ -180,7 +180,7 @@
         running = set(self.names) & testbed.alive
         if isinstance(testbed, VirtualTestbed):
             return all(
-                {peer.name for peer in testbed.carriers[name].peers.here()} == running - {name}
+                {peer.name for peer in testbed.carriers[name].membership.alive_peers()} == running - {name}
                 for name in running
             )
         return all(testbed.live_peer_count(name) == len(running) - 1 for name in running)
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -9,8 +9,8 @@
 import os
 from collections import Counter
 
-from ...peers.messages import Counts, Envelope, Kind, Message, Unusable
-from ...peers.node import Peers
+from ...peers.membership import Membership
+from ...peers.messages import DatagramCodec, DatagramError, Message, MessageKind, SessionCounts
 from ..measure import CONVERGENCE_TIMEOUT
 from ..membership import KEYS, SECOND, ActualSessions, MembershipSimulation, peak_in_one_second
 from ..play import deployment_settings
@@ -24,9 +24,9 @@
 
 
 def message_kind(message: Message) -> str:
-    if message.kind == Kind.COUNTS:
+    if message.kind == MessageKind.COUNTS:
         return "counts" if message.counts is not None else "news"
-    return Kind(message.kind).name.lower()
+    return MessageKind(message.kind).name.lower()
 
 
 class MessageTally:
@@ -48,15 +48,15 @@
         return taken
 
 
-class CountingEnvelope(Envelope):
+class CountingEnvelope(DatagramCodec):
     """An envelope that adds each message it closes to a tally."""
 
     def __init__(self, tally: MessageTally) -> None:
         super().__init__("lab", list(KEYS))
         self.tally = tally
 
-    def close(self, message: Message) -> bytes:
-        data = super().close(message)
+    def seal(self, message: Message) -> bytes:
+        data = super().seal(message)
         self.tally.add(message, len(data))
         return data
 
@@ -64,8 +64,8 @@
 class NoSessions(ActualSessions):
     """A balancer that holds no sessions."""
 
-    def update(self) -> Counts:
-        return Counts(1, list_version=1)
+    def update(self) -> SessionCounts:
+        return SessionCounts(1, list_version=1)
 
 
 class CountingSimulation(MembershipSimulation):
@@ -76,7 +76,7 @@
         self.is_idle = is_idle
         super().__init__(balancers, seed, **overrides)
 
-    def start(self, name: str, address: str, unix_ms: int = 0) -> Peers:
+    def start(self, name: str, address: str, unix_ms: int = 0) -> Membership:
         node = super().start(name, address, unix_ms)
         self.envelopes[address] = CountingEnvelope(self.tally)
         if self.is_idle:
@@ -126,8 +126,8 @@
     simulation.run(quiet * SECOND)
     cpu = simulation.cpu_seconds - cpu
     tally = simulation.tally.take()
-    sums = [node.sum(simulation.now) for node in simulation.alive().values()]
-    ages = sorted(total.oldest / SECOND for total in sums)
+    sums = [node.fleet_totals(simulation.now) for node in simulation.alive().values()]
+    ages = sorted(total.oldest_age / SECOND for total in sums)
     peak_bytes = simulation.take_peak_bytes()
     simulation.kill(balancers // 2)
     cpu_at, since = simulation.cpu_seconds, simulation.now
@@ -143,7 +143,7 @@
         "memory": f"{memory / balancers:.0f}",
         "memory_a_peer": f"{memory / balancers / max(balancers - 1, 1):.0f}",
         "oldest": f"{ages[len(ages) // 2]:.1f}",
-        "covered": f"{min(total.part for total in sums):.3f}",
+        "covered": f"{min(total.coverage for total in sums):.3f}",
         "death_half": detected[0], "death_99": detected[1], "death_all": detected[2],
         "death_bytes_most": simulation.take_peak_bytes(),
         "death_core":
@@ -233,7 +233,7 @@
 def count_pairs_across(simulation: MembershipSimulation, cut_off: set[str]) -> int:
     """Pairs across the cut of which one still considers the other to be alive."""
     return sum(
-        (peer.name in cut_off) != (node.name in cut_off) and not peer.gone
+        (peer.name in cut_off) != (node.name in cut_off) and not peer.is_dead
         for node in simulation.alive().values()
         for peer in node.peers.values()
     )
@@ -242,7 +242,7 @@
 def count_missing_pairs(simulation: MembershipSimulation) -> int:
     """Pairs of running peers of which one does not consider the other to be alive."""
     alive = simulation.alive().values()
-    return sum(len(alive) - 1 - sum(not peer.gone for peer in node.peers.values()) for node in alive)
+    return sum(len(alive) - 1 - sum(not peer.is_dead for peer in node.peers.values()) for node in alive)
 
 
 # Simulated peers against real daemons
@@ -253,13 +253,13 @@
 
     def __init__(self, stage: ProcessTestbed) -> None:
         self.tally = MessageTally()
-        self.envelope = Envelope("lab", [bytes.fromhex(SHARED_KEY)])
+        self.envelope = DatagramCodec("lab", [bytes.fromhex(SHARED_KEY)])
         self.original_fates, stage.faults.deliveries = stage.faults.deliveries, self.fates
 
     def fates(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
         try:
             self.tally.add(self.envelope.open(data), len(data))
-        except Unusable:
+        except DatagramError:
             self.tally.count["unusable"] += 1
         return self.original_fates(now, source, target, data)
 
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -13,9 +13,9 @@
 from ...net.loop import READ, Loop
 from ...net.system import System
 from ...net.told import server_address
-from ...peers.messages import LARGEST, Envelope, Unusable
-from ...peers.node import TICK, Peer, Peers
-from ...peers.words import Action, Came, Counted, Send, Tick
+from ...peers.events import Action, CountsUpdated, MessageReceived, Send, Tick
+from ...peers.membership import TICK, Membership, Peer
+from ...peers.messages import MAX_DATAGRAM_BYTES, DatagramCodec, DatagramError
 from ..membership import SECOND, ActualSessions, peer_settings
 from ..stage import SHARED_KEY
 from .control import MessageTally
@@ -38,8 +38,8 @@
         self.address = "{}:{}".format(*self.sock.getsockname())
         settings = peer_settings(0, advertise=self.address)
         unix_ms = loop.system.time_ns() // 1_000_000
-        self.peers = Peers(settings, name, rng.getrandbits(60), loop.now(), unix_ms, fleet_size)
-        self.envelope = Envelope("lab", [bytes.fromhex(SHARED_KEY)])
+        self.peers = Membership(settings, name, rng.getrandbits(60), loop.now(), unix_ms, fleet_size)
+        self.envelope = DatagramCodec("lab", [bytes.fromhex(SHARED_KEY)])
         self.sessions = ActualSessions(random.Random(rng.getrandbits(60)), SERVERS)
         self.tally = MessageTally()  # of messages from the real daemons
         self.daemon_names: frozenset[str] = frozenset()
@@ -53,25 +53,25 @@
 
     def update_counts(self) -> None:
         self.loop.after(SECOND, self.update_counts)
-        self.carry_out(self.peers.handle(self.loop.now(), Counted(self.sessions.update())))
+        self.carry_out(self.peers.handle(self.loop.now(), CountsUpdated(self.sessions.update())))
 
     def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 with contextlib.suppress(OSError):
-                    self.sock.sendto(self.envelope.close(action.message), server_address(action.address))
+                    self.sock.sendto(self.envelope.seal(action.message), server_address(action.address))
 
     def ready(self, mask: int) -> None:
         while True:
             try:
-                data = self.sock.recv(LARGEST + 1)
+                data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, ConnectionError):
                 return
-            with contextlib.suppress(Unusable):
+            with contextlib.suppress(DatagramError):
                 message = self.envelope.open(data)
                 if message.name in self.daemon_names:
                     self.tally.add(message, len(data))
-                self.carry_out(self.peers.handle(self.loop.now(), Came(message, len(data))))
+                self.carry_out(self.peers.handle(self.loop.now(), MessageReceived(message, len(data))))
 
 
 def introduce_all(simulated: list[SimulatedPeer], rng: random.Random, now: int) -> None:
@@ -82,10 +82,10 @@
             if other is not member:
                 other_node = other.peers
                 peer = Peer(other_node.name, other.address, other_node.incarnation, now)
-                peer.token, peer.link = other_node.token_for(member.address), other_node.chain.link(0)
-                node.peers[peer.name] = node.by_key[peer.key] = peer
-                node.telling.append(peer)
-        rng.shuffle(node.telling)
+                peer.token, peer.chain_link = other_node.token_for(member.address), other_node.chain.link(0)
+                node.peers[peer.name] = node.by_chain_key[peer.chain_key] = peer
+                node.counts_queue.append(peer)
+        rng.shuffle(node.counts_queue)
 
 
 def measure_mixed_fleet(balancers: int, real: int, seed: int) -> dict:
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -24,12 +24,19 @@
 from ..net.service import Service
 from ..net.system import System
 from ..net.told import Start, Told, server_address
-from ..peers.carrier import Carrier
-from ..peers.messages import LARGEST, VERSION, Envelope, Kind, Message, Unusable, encode
-from ..peers.node import TICK, Peer, Peers
-from ..peers.stated import Stated, spelt
-from ..peers.stated import read as read_peers
-from ..peers.words import Came, Event, Send, Tick
+from ..peers.events import Event, MessageReceived, Send, Tick
+from ..peers.membership import TICK, Membership, Peer
+from ..peers.messages import (
+    MAX_DATAGRAM_BYTES,
+    VERSION,
+    DatagramCodec,
+    DatagramError,
+    Message,
+    MessageKind,
+    encode,
+)
+from ..peers.settings import PeerSettings, format_address, load_peer_settings
+from ..peers.transport import PeerTransport
 from .faults import FaultInjector
 from .membership import peer_settings
 from .records import Record
@@ -85,8 +92,8 @@
     def balancer_config(self, name: str, seed: int) -> dict:
         return {
             "name": name,
-            "listen": spelt(self.listen_address(name)),
-            "discovery": spelt(self.list_address(name)),
+            "listen": format_address(self.listen_address(name)),
+            "discovery": format_address(self.list_address(name)),
             "seed": f"{seed:x}",
             "settings": self.settings,
             "known": {
@@ -147,7 +154,7 @@
         self.network.host_names |= {"10.2.0.1": "list", "10.3.0.1": "clients"}
         self.machines: dict[str, Machine] = {}
         self.services: dict[str, Service] = {}
-        self.carriers: dict[str, Carrier] = {}
+        self.carriers: dict[str, PeerTransport] = {}
         self.names_by_host: dict[str, str] = {}
         self.hosts: dict[str, str] = {}
 
@@ -181,10 +188,10 @@
             self.list_service.listen_for(name, ("10.2.0.1", port))
         return "10.2.0.1", port
 
-    def peers_settings(self, name: str) -> Stated:
+    def peers_settings(self, name: str) -> PeerSettings:
         address = (self.host_of(name), 7946)
         join = tuple(f"{self.host_of(f'b{index}')}:7946" for index in range(3))
-        own = {"listen": address, "advertise": spelt(address), "keys": (bytes.fromhex(SHARED_KEY),)}
+        own = {"listen": address, "advertise": format_address(address), "keys": (bytes.fromhex(SHARED_KEY),)}
         return peer_settings(0, join, **(self.peers_options | own))
 
     def start(self, name: str) -> None:
@@ -198,7 +205,7 @@
         service.loop.running = True
         self.network.loops.append(service.loop)
         if self.peers_options is not None:
-            self.carriers[name] = Carrier(service, self.peers_settings(name), machine, name, start.seed)
+            self.carriers[name] = PeerTransport(service, self.peers_settings(name), machine, name, start.seed)
         self.alive.add(name)
         self.record.note("started", balancer=name)
 
@@ -422,7 +429,7 @@
         destination = self.server_addresses.get(server) or self.server_addresses.setdefault(
             server, self.unused_address()
         )
-        return spelt(self.relay_address(balancer, server, destination))
+        return format_address(self.relay_address(balancer, server, destination))
 
     def unused_address(self) -> tuple[str, int]:
         self.port += 1
@@ -451,11 +458,12 @@
         relay = self.datagram_relays[name]
         entries = {
             "fleet": "lab",
-            "listen": spelt(relay.destination),
-            "advertise": spelt(relay.sock.getsockname()),
+            "listen": format_address(relay.destination),
+            "advertise": format_address(relay.sock.getsockname()),
             "key_file": "peers.key",
             "join": [
-                spelt(self.datagram_relays[balancer].sock.getsockname()) for balancer in ("b0", "b1", "b2")
+                format_address(self.datagram_relays[balancer].sock.getsockname())
+                for balancer in ("b0", "b1", "b2")
             ],
             "answer_within": "300 ms",
         }
@@ -619,10 +627,10 @@
         address = self.sock.getsockname()
         testbed.datagram_relays[name] = DatagramRelay(testbed, name, address)
         testbed.datagram_source_names[address] = name
-        own = read_peers(str(testbed.write_peers_file(name)))
-        self.envelope = Envelope(own.fleet, [bytes.fromhex(key)])
+        own = load_peer_settings(str(testbed.write_peers_file(name)))
+        self.envelope = DatagramCodec(own.fleet, [bytes.fromhex(key)])
         unix_ms = testbed.system.time_ns() // 1_000_000
-        self.peers = Peers(own, name, 1, self.loop.now(), unix_ms, 1)
+        self.peers = Membership(own, name, 1, self.loop.now(), unix_ms, 1)
         self.received: list[Message] = []
         self.sends_extra_fields = False  # as a later version of the protocol might
         self.loop.watch(self.sock, 0, READ, self)
@@ -639,7 +647,7 @@
                 self.send(action.address, action.message)
 
     def send(self, address: str, message: Message) -> None:
-        data = self.envelope.close(message)
+        data = self.envelope.seal(message)
         if self.sends_extra_fields:
             body = msgspec.msgpack.encode([*msgspec.msgpack.decode(encode(message)), {"newer": True}])
             data = self.envelope.digest(self.envelope.keys[0], body) + body
@@ -649,7 +657,7 @@
         with contextlib.suppress(OSError):
             self.sock.sendto(data, server_address(address))
 
-    def send_forged(self, peer: Peer, kind: Kind, name: str = "", **fields: object) -> None:
+    def send_forged(self, peer: Peer, kind: MessageKind, name: str = "", **fields: object) -> None:
         """Sends a message with any content to a known peer, also in the name of another member."""
         self.peers.counter += 1
         identity = (self.peers.incarnation, self.peers.counter)
@@ -661,13 +669,13 @@
     def ready(self, mask: int) -> None:
         while True:
             try:
-                data = self.sock.recv(LARGEST + 1)
+                data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            with contextlib.suppress(Unusable):
+            with contextlib.suppress(DatagramError):
                 message = self.envelope.open(data)
                 self.received.append(message)
-                self.handle_event(Came(message, len(data)))
+                self.handle_event(MessageReceived(message, len(data)))
 
     def close(self) -> None:
         self.loop.watch(self.sock, READ, 0, self)
