--- a/thymedeck/benchlink.py
+++ b/thymedeck/benchlink.py
@@ -1,7 +1,8 @@
-"""Hosts many balancers on the simulator's wire: JSON lines in, JSON lines out.
+"""Runs balancers under an external simulator: JSON lines with events in, JSON lines with actions out.
 
-Here wire names become ours, microseconds become tenths of a millisecond (budgets down, waits up), and ids
-become small indices. Balancers share nothing but the process.
+Translates between the simulator's messages (`wire`) and the types of `interface`: names, units (microseconds
+to tenths of a millisecond; budgets are rounded down, waiting times up) and ids (small indices here). One
+process hosts many balancer instances; they share no state.
 """
 
 import sys
@@ -38,85 +39,93 @@
 
 
 class RawBatch(msgspec.Struct):
+    """A batch whose events are not decoded yet."""
+
     wall_us: int
     input: list[msgspec.Raw]
 
 
 class Batch(msgspec.Struct):
+    """One line of input: the events at one moment of the simulated clock."""
+
     wall_us: int
     input: list[wire.AnyEvent]
 
 
-KNOWN = frozenset(kind.__struct_config__.tag for kind in wire.AnyEvent.__args__)
+KNOWN_TAGS = frozenset(kind.__struct_config__.tag for kind in wire.AnyEvent.__args__)
 decode_batch = msgspec.json.Decoder(Batch).decode
 decode_raw = msgspec.json.Decoder(RawBatch).decode
-decode_heading = msgspec.json.Decoder(wire.Heading).decode
+decode_header = msgspec.json.Decoder(wire.EventHeader).decode
 decode_event = msgspec.json.Decoder(wire.AnyEvent).decode
 encode = msgspec.json.Encoder().encode
 
 
-class Link:
-    """One balancer's side of the wire, from its start to its end."""
+class BalancerAdapter:
+    """One balancer instance: translates its events and actions and maps the simulator's ids to indices."""
 
     def __init__(self, instance: int, event: wire.Provision) -> None:
         self.instance = instance
         self.balancer = Balancer(event.rng_seed, deployment_from(event.env))
         fields = event.env.report.fields
-        self.pressure_at = fields.index("x0") if "x0" in fields else -1
-        self.server_index: dict[int, int] = {}
+        self.utilization_field = fields.index("x0") if "x0" in fields else -1
+        self.server_indices: dict[int, int] = {}
         self.server_ids: list[int] = []
-        self.sess_index: dict[int, int] = {}
-        self.sess_ids: dict[int, int] = {}
-        self.next_sess = 0
+        self.session_by_request: dict[int, int] = {}
+        self.request_by_session: dict[int, int] = {}
+        self.next_session_id = 0
 
-    def server(self, wire_id: int) -> int:
-        index = self.server_index.get(wire_id)
+    def index_of_server(self, wire_id: int) -> int:
+        """Returns the index of a server, assigning the next one to a new id."""
+        index = self.server_indices.get(wire_id)
         if index is None:
-            index = self.server_index[wire_id] = len(self.server_ids)
+            index = self.server_indices[wire_id] = len(self.server_ids)
             self.server_ids.append(wire_id)
         return index
 
-    def new_sess(self, wire_id: int) -> int:
-        index = self.next_sess
-        self.next_sess += 1
-        self.sess_index[wire_id] = index
-        self.sess_ids[index] = wire_id
-        return index
+    def add_session(self, request: int) -> int:
+        session_id = self.next_session_id
+        self.next_session_id += 1
+        self.session_by_request[request] = session_id
+        self.request_by_session[session_id] = request
+        return session_id
 
-    def pressure(self, stats: list[float] | None) -> float | None:
-        if stats is None or not 0 <= self.pressure_at < len(stats):
+    def utilization(self, stats: list[float] | None) -> float | None:
+        """Returns the utilization in a server's report, if it is in there."""
+        if stats is None or not 0 <= self.utilization_field < len(stats):
             return None
-        return stats[self.pressure_at]
+        return stats[self.utilization_field]
 
-    def take(self, now_us: int, event: wire.AnyEvent, output: list[dict[str, Any]]) -> None:
-        told = self.translate(event)
-        if told is None:
+    def handle(self, now_us: int, event: wire.AnyEvent, output: list[dict[str, Any]]) -> None:
+        """Passes the event to the balancer and appends the resulting actions to the output."""
+        translated = self.translate(event)
+        if translated is None:
             return
-        for action in self.balancer.handle(now_us // 100, told):
-            output.append(self.spell(action))
+        for action in self.balancer.handle(now_us // 100, translated):
+            output.append(self.encode_action(action))
             if isinstance(action, interface.Refuse | interface.TearDown):
-                self.let_go(action.session_id)
+                self.release_session(action.session_id)
         if isinstance(event, wire.ClosedAttempt | wire.Hangup):
-            self.let_go(self.sess_index.get(event.req, -1))
+            self.release_session(self.session_by_request.get(event.req, -1))
 
-    def let_go(self, index: int) -> None:
-        if index in self.sess_ids and index not in self.balancer.sessions:
-            del self.sess_index[self.sess_ids.pop(index)]
+    def release_session(self, session_id: int) -> None:
+        """Forgets the ids of a session that the balancer no longer has."""
+        if session_id in self.request_by_session and session_id not in self.balancer.sessions:
+            del self.session_by_request[self.request_by_session.pop(session_id)]
 
     def translate(self, event: wire.AnyEvent) -> interface.Event | None:
-        """The event in our words, or None where it is about something no longer held."""
+        """Returns the balancer's event, or None if the message concerns a session or server unknown here."""
         if isinstance(event, wire.UpdateOf):
-            return self.translate_note(event)  # most events are notes
+            return self.translate_update(event)  # checked first: most messages are of this kind
         match event:
             case wire.Accept():
                 return interface.SessionArrived(
-                    self.new_sess(event.req), event.type, floor_ticks(event.budget_us),
+                    self.add_session(event.req), event.type, floor_ticks(event.budget_us),
                     event.work_us, event.partition_key, event.mid_flow,
                 )  # fmt: skip
             case wire.AlreadyOpen():
                 return interface.SessionRestored(
-                    self.new_sess(event.req), event.type, event.work_us,
-                    event.partition_key, self.server(event.server),
+                    self.add_session(event.req), event.type, event.work_us,
+                    event.partition_key, self.index_of_server(event.server),
                 )  # fmt: skip
             case wire.Wake():
                 timer, _, index = event.label.partition(":")
@@ -126,112 +135,122 @@
             case wire.FromPeer():
                 return None
             case wire.Hangup():
-                sess = self.sess_index.get(event.req)
-                return None if sess is None else interface.SessionLeft(sess)
-        server = self.server_index.get(event.server)
+                session_id = self.session_by_request.get(event.req)
+                return None if session_id is None else interface.SessionLeft(session_id)
+        server = self.server_indices.get(event.server)
         if server is None:
             return None
         if isinstance(event, wire.Echo):
-            return interface.ProbeEnded(server, event.disposition == "OK", self.pressure(event.stats))
-        sess = self.sess_index.get(event.req)
-        if sess is None:
+            return interface.ProbeEnded(server, event.disposition == "OK", self.utilization(event.stats))
+        session_id = self.session_by_request.get(event.req)
+        if session_id is None:
             return None
         match event:
             case wire.HeadReceived():
-                return interface.SessionEstablished(sess, server, floor_ticks(event.duration_us))
+                return interface.SessionEstablished(session_id, server, floor_ticks(event.duration_us))
             case wire.ClosedAttempt():
                 outcome = OUTCOMES.get(event.disposition, interface.DialOutcome.UNKNOWN)
                 return interface.DialEnded(
-                    sess, server, outcome, event.complete, self.pressure(event.stats)
+                    session_id, server, outcome, event.complete, self.utilization(event.stats)
                 )  # fmt: skip
         return None
 
-    def translate_note(self, event: wire.UpdateOf) -> interface.Event | None:
-        sess, server = self.sess_index.get(event.req), self.server_index.get(event.server)
-        if sess is None or server is None:
+    def translate_update(self, event: wire.UpdateOf) -> interface.Event | None:
+        session_id, server = self.session_by_request.get(event.req), self.server_indices.get(event.server)
+        if session_id is None or server is None:
             return None
-        if event.what == wire.NOTE_LOAD:
-            return interface.LoadReported(sess, event.amount)
+        if event.what == wire.UPDATE_LOAD:
+            return interface.LoadReported(session_id, event.amount)
         return (
-            interface.DelayReported(sess, server, int(event.amount * 10))
-            if event.what == wire.NOTE_DELAY
+            interface.DelayReported(session_id, server, int(event.amount * 10))
+            if event.what == wire.UPDATE_DELAY
             else None
         )
 
     def translate_list(self, event: wire.Registry) -> interface.ServerListUpdated | None:
+        """Returns None for an unknown kind of update. An unknown state of a server counts as draining."""
         kind = LIST_KINDS.get(event.how)
         if kind is None:
             return None
-        index, states, other = self.server, STATES, interface.ServerState.DRAINING
+        index_of, states, default_state = self.index_of_server, STATES, interface.ServerState.DRAINING
         entries = [
             interface.ServerEntry(
-                index(one.server), one.region_part, one.group, states.get(one.readiness, other),
-                one.boot_time_us // 100, one.share if one.share > MIN_WEIGHT else MIN_WEIGHT,
-                one.generation_hw,
+                index_of(member.server), member.region_part, member.group,
+                states.get(member.readiness, default_state),
+                member.boot_time_us // 100,
+                member.share if member.share > MIN_WEIGHT else MIN_WEIGHT, member.generation_hw,
             )
-            for one in event.members
+            for member in event.members
         ]  # fmt: skip
         return interface.ServerListUpdated(
             kind, entries, is_scheduled=True
-        )  # there every call goes out by `RequestList`
+        )  # in the simulator the list is fetched only on `RequestList`
 
-    def spell(self, action: interface.Action) -> dict[str, Any]:
-        head = {"i": self.instance}
+    def encode_action(self, action: interface.Action) -> dict[str, Any]:
+        """Returns the simulator's message for an action."""
+        header = {"i": self.instance}
         match action:
             case interface.Dial():
                 return {
-                    "t": "ISSUE", **head, "req": self.sess_ids[action.session_id],
+                    "t": "ISSUE", **header, "req": self.request_by_session[action.session_id],
                     "server": self.server_ids[action.server], "limit_us": action.limit * 100,
                 }  # fmt: skip
             case interface.SetTimer():
                 label = f"{action.timer.value}:{action.index}"
-                return {"t": "SCHEDULE", **head, "label": label, "after_us": action.after * 100}
+                return {"t": "SCHEDULE", **header, "label": label, "after_us": action.after * 100}
             case interface.Refuse():
-                refused = {"t": "TURN_AWAY", **head, "req": self.sess_ids[action.session_id]}
-                return refused | {"come_back_us": action.retry_after * 100} if action.retry_after else refused
+                refusal = {"t": "TURN_AWAY", **header, "req": self.request_by_session[action.session_id]}
+                return refusal | {"come_back_us": action.retry_after * 100} if action.retry_after else refusal
             case interface.TearDown():
-                return {"t": "LOSE", **head, "req": self.sess_ids[action.session_id]}
+                return {"t": "LOSE", **header, "req": self.request_by_session[action.session_id]}
             case interface.Move():
-                return {"t": "REDIRECT", **head, "req": self.sess_ids[action.session_id]}
+                return {"t": "REDIRECT", **header, "req": self.request_by_session[action.session_id]}
             case interface.Probe():
-                return {"t": "PROBE", **head, "server": self.server_ids[action.server]}
+                return {"t": "PROBE", **header, "server": self.server_ids[action.server]}
             case interface.RequestList():
-                return {"t": "LISTEN", **head, "want": True}
-        return {"t": "REMARK", **head, "note_text": action.text}
+                return {"t": "LISTEN", **header, "want": True}
+        return {"t": "REMARK", **header, "note_text": action.text}
 
 
 def read_batch(line: bytes) -> Batch:
     try:
         return decode_batch(line)
     except msgspec.ValidationError:
-        # Kinds of events that are not known here are skipped; anything else wrong is raised again.
+        # Events of unknown kinds are skipped; any other error is raised again below.
         raw = decode_raw(line)
-        known = [one for one in raw.input if decode_heading(one).t in KNOWN]
-        return Batch(raw.wall_us, [decode_event(one) for one in known])
+        known = [event for event in raw.input if decode_header(event).t in KNOWN_TAGS]
+        return Batch(raw.wall_us, [decode_event(event) for event in known])
 
 
 def serve(lines: BinaryIO, replies: BinaryIO) -> int:
-    links: dict[int, Link] = {}
+    """Answers each line of events with a line of actions, until the input ends; returns the exit code.
+
+    An exception in one balancer removes that balancer alone and is reported as PANIC; a line that cannot be
+    decoded ends the process.
+    """
+    adapters: dict[int, BalancerAdapter] = {}
     for number, line in enumerate(lines, 1):
         try:
             batch = read_batch(line)
-        except msgspec.MsgspecError as wrong:
-            print(f"line {number}: {wrong}", file=sys.stderr)
+        except msgspec.MsgspecError as error:
+            print(f"line {number}: {error}", file=sys.stderr)
             return 1
         output: list[dict[str, Any]] = []
         for event in batch.input:
             instance = event.i
             try:
                 if isinstance(event, wire.Provision):
-                    links[instance] = Link(instance, event)
+                    adapters[instance] = BalancerAdapter(instance, event)
                 elif isinstance(event, wire.Kill):
-                    links.pop(instance, None)
-                elif instance in links:
-                    links[instance].take(batch.wall_us, event, output)
-            except Exception as fault:
+                    adapters.pop(instance, None)
+                elif instance in adapters:
+                    adapters[instance].handle(batch.wall_us, event, output)
+            except Exception as exception:
                 traceback.print_exc(file=sys.stderr)
-                links.pop(instance, None)
-                output.append({"t": "PANIC", "i": instance, "note_text": f"{type(fault).__name__}: {fault}"})
+                adapters.pop(instance, None)
+                output.append(
+                    {"t": "PANIC", "i": instance, "note_text": f"{type(exception).__name__}: {exception}"}
+                )
         replies.write(encode({"output": output}) + b"\n")
         replies.flush()
     return 0
--- a/thymedeck/wire.py
+++ b/thymedeck/wire.py
@@ -1,43 +1,57 @@
-"""The simulator's messages as they stand on the wire. Its names and units end in this file and benchlink."""
+"""The messages of the simulator's protocol, with its own field names and units.
+
+Only this module and benchlink know them; the rest of the package uses the types of `interface`.
+"""
 
 from msgspec import Struct
 
 from .settings import Settings
 
-NOTE_LOAD = 1
-NOTE_DELAY = 2
+# Values of `UpdateOf.what`
+UPDATE_LOAD = 1
+UPDATE_DELAY = 2  # the amount is in milliseconds
+
 
+class RegistryMember(Struct):
+    """A server in the registry's list."""
 
-class Entry(Struct):
     server: int
-    region_part: int = 0
-    generation_hw: int = -1
-    group: int = 0
+    region_part: int = 0  # the zone
+    generation_hw: int = -1  # the machine kind; -1: unknown
+    group: int = 0  # the cell
     readiness: str = "ready"
-    share: float = 1.0
+    share: float = 1.0  # the weight
     boot_time_us: int = 0
 
 
 class Provision(Struct, tag_field="t", tag="PROVISION"):
+    """Starts the balancer instance `i`."""
+
     i: int
     rng_seed: int
     env: Settings
 
 
 class Kill(Struct, tag_field="t", tag="KILL"):
+    """Removes the balancer instance `i`, with all its state."""
+
     i: int
 
 
 class Registry(Struct, tag_field="t", tag="REGISTRY"):
+    """The server list or changes of it, or a failed request for it."""
+
     i: int
     how: str
-    members: list[Entry] = []
+    members: list[RegistryMember] = []
 
 
 class Accept(Struct, tag_field="t", tag="ACCEPT"):
+    """A new session has arrived."""
+
     i: int
     req: int
-    type: int
+    type: int  # index of the listener
     budget_us: int
     partition_key: str | None = None
     work_us: float | None = None
@@ -45,6 +59,8 @@
 
 
 class AlreadyOpen(Struct, tag_field="t", tag="ALREADY_OPEN"):
+    """A session that was open on a server before this balancer started."""
+
     i: int
     req: int
     server: int
@@ -54,11 +70,15 @@
 
 
 class Hangup(Struct, tag_field="t", tag="HANGUP"):
+    """The client ended the session."""
+
     i: int
     req: int
 
 
 class HeadReceived(Struct, tag_field="t", tag="HEAD_RECEIVED"):
+    """A server accepted the session."""
+
     i: int
     req: int
     server: int
@@ -66,15 +86,19 @@
 
 
 class ClosedAttempt(Struct, tag_field="t", tag="CLOSED_ATTEMPT"):
+    """A dial ended."""
+
     i: int
     req: int
     server: int
     disposition: str
-    complete: bool = False
+    complete: bool = False  # the session is over as well
     stats: list[float] | None = None
 
 
 class UpdateOf(Struct, tag_field="t", tag="UPDATE_OF"):
+    """A measurement of an open session: its load or the time that a message takes."""
+
     i: int
     req: int
     server: int
@@ -83,6 +107,8 @@
 
 
 class Echo(Struct, tag_field="t", tag="ECHO"):
+    """A probe was answered or failed."""
+
     i: int
     server: int
     disposition: str
@@ -90,11 +116,15 @@
 
 
 class Wake(Struct, tag_field="t", tag="WAKE"):
+    """A timer set with SCHEDULE expired; the label is the one given there."""
+
     i: int
     label: str
 
 
 class FromPeer(Struct, tag_field="t", tag="FROM_PEER"):
+    """A message from another balancer. It is ignored."""
+
     i: int
 
 
@@ -104,8 +134,8 @@
 )  # fmt: skip
 
 
-class Heading(Struct):
-    """What every event has, whatever its kind."""
+class EventHeader(Struct):
+    """The fields that events of every kind have: the tag and the balancer instance."""
 
     t: str
     i: int
