--- a/tests/test_fleetcount.py
+++ b/tests/test_fleetcount.py
@@ -1,9 +1,9 @@
-"""The tool that counts over the logs of a fleet."""
+"""The tool that aggregates the logs of a fleet."""
 
 import json
 from pathlib import Path
 
-from tools.fleetcount import followed, read_logs, tables
+from tools.fleetcount import read_logs, session_lines, table_lines
 
 LOGS = {
     "n0": [
@@ -24,21 +24,22 @@
 
 
 def events(folder: Path) -> list[dict]:
+    """Writes the logs, each line with a prefix and the last one cut off, and reads them back."""
     for name, lines in LOGS.items():
         text = "".join(f"0.000 {json.dumps(line)}\n" for line in lines)
         (folder / f"{name}.log").write_text(text + '0.1 {"cut off')
     return read_logs(folder)
 
 
-def test_one_client_is_followed_through_every_balancer(tmp_path: Path) -> None:
-    lines = list(followed(events(tmp_path), "k1"))
+def test_session_lines_cover_every_balancer(tmp_path: Path) -> None:
+    lines = list(session_lines(events(tmp_path), "k1"))
     assert [line.split()[1] for line in lines] == ["n0", "n0", "n0", "n1", "n1"]
-    assert len(list(followed(events(tmp_path), "ab12"))) == 3
-    # The number is given anew after a restart: another session's lines are not taken for it.
+    assert len(list(session_lines(events(tmp_path), "ab12"))) == 3
+    # Session 0 of n0 is another one after the restart; its lines are left out.
     assert not any("left" in line for line in lines)
 
 
-def test_lines_sent_on_for_clients_that_left_are_counted(tmp_path: Path) -> None:
+def test_lines_forwarded_after_the_client_left_are_counted(tmp_path: Path) -> None:
     rows = [
         ("left", 1, 1.0),
         ("left", 2, 1.0),
@@ -49,16 +50,18 @@
     ]
     rows += [("up", 3, 2.0), ("left", 4, 2.0), ("dial", 4, 2.5)]
     lines = [
-        {"event": name, "sess": sess, "time": time, "sent": True, "ending": "X", "server": 0}
-        for name, sess, time in rows
+        {"event": name, "sess": session, "time": time, "sent": True, "ending": "X", "server": 0}
+        for name, session, time in rows
     ]
     (tmp_path / "n0.log").write_text(
-        "".join(json.dumps(one | {"key": "k", "figures": ""}) + "\n" for one in lines)
+        "".join(json.dumps(line | {"key": "k", "figures": ""}) + "\n" for line in lines)
+    )
+    assert "clients that left while waiting: 4; forwarded more than 0.1 s later: 2" in list(
+        table_lines(read_logs(tmp_path), 1.0)
     )
-    assert "left while they waited: 4; sent on over 0.1 s later: 2" in list(tables(read_logs(tmp_path), 1.0))
 
 
-def test_what_single_balancers_did_is_counted(tmp_path: Path) -> None:
-    lines = list(tables(events(tmp_path), 1.0))
+def test_counts_of_single_balancers(tmp_path: Path) -> None:
+    lines = list(table_lines(events(tmp_path), 1.0))
     counted = {" ".join(line.partition(":")[0].split()[2:]): line.split()[0] for line in lines[-8:]}
     assert [counted[kind] for kind in ("answer BUSY", "left", "cold", "draining", "fault")] == list("11110")
