--- a/tools/standing.py
+++ b/tools/standing.py
@@ -159,7 +159,8 @@
                 format_number(min(scores, default=None)),
                 format_number(statistics.median(scores) if scores else None),
                 format_number(max(scores, default=None)), str(sum(run.violations > 0 for run in group)),
-                str(sum(run.day.fault is not None for run in group)), str(max(run.day.files for run in group)),
+                str(sum(run.day.fault is not None for run in group)),
+                str(max(run.day.files for run in group)),
             ]  # fmt: skip
 
 
@@ -168,7 +169,8 @@
     for day_run in sorted(day_runs, key=lambda run: (run.day.name, run.day.seed, run.at)):
         day = day_run.day
         yield [
-            day.name, str(day.seed), "now" if day_run.code == current_code else day_run.code, day_run.panel or "-",
+            day.name, str(day.seed), "now" if day_run.code == current_code else day_run.code,
+            day_run.panel or "-",
             "-" if day.served is None else f"{day.served:.3f}",
             "-" if day.served_least is None else f"{day.served_least:.3f}",
             format_number(day_run.margin, True), format_number(day.score),
