--- a/examples/toy_client.py
+++ b/examples/toy_client.py
@@ -1,4 +1,4 @@
-"""A toy client: sends what is typed as lines ended by CRLF and prints what comes back.
+"""A minimal client: sends each line of the input, ended by CRLF, and prints what the server answers.
 
 python examples/toy_client.py PORT
 """
@@ -16,10 +16,10 @@
     while True:
         for key, _ in selector.select():
             if key.fileobj is sock:
-                got = sock.recv(4096)
-                if not got:
+                received = sock.recv(4096)
+                if not received:
                     return
-                print(got.decode(errors="replace"), end="", flush=True)
+                print(received.decode(errors="replace"), end="", flush=True)
             else:
                 line = sys.stdin.readline()
                 if not line:
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,7 +1,7 @@
-"""A toy server to try thymedeck with: it takes sessions, tells a load, and sends every line back.
+"""A minimal server for trying out thymedeck: accepts sessions, reports a random load and echoes every line.
 
 python examples/toy_server.py NAME PORT
-python examples/toy_server.py --list 7500 one=7101 two=7102      the list of servers, over HTTP
+python examples/toy_server.py --list 7500 one=7101 two=7102      serves the server list over HTTP
 """
 
 import json
@@ -13,7 +13,9 @@
 from urllib.parse import parse_qs, urlsplit
 
 
-class Session(socketserver.StreamRequestHandler):
+class SessionHandler(socketserver.StreamRequestHandler):
+    """Answers the opening line with UP and a session id, reports a load, and echoes lines until QUIT."""
+
     def handle(self) -> None:
         if not self.rfile.readline().startswith(b"OPEN "):
             self.wfile.write(b"SYNTAX\r\n")
@@ -27,24 +29,24 @@
             self.wfile.write(line)
 
 
-class Server(socketserver.ThreadingTCPServer):
+class SessionServer(socketserver.ThreadingTCPServer):
     allow_reuse_address = True
     daemon_threads = True
     name = ""
 
 
-class List(BaseHTTPRequestHandler):
-    """Answers the whole list, or waits as long as a watch asks, since nothing ever changes."""
+class ListHandler(BaseHTTPRequestHandler):
+    """Sends the whole list. The list never changes, so a watch for changes ends only after its wait time."""
 
     protocol_version = "HTTP/1.1"
     entries: list[dict[str, str]] = []
 
     def do_GET(self) -> None:
-        asked = parse_qs(urlsplit(self.path).query)
-        known = asked.get("index") == ["1"]
-        if known:
-            time.sleep(int(asked.get("wait", ["0"])[0]) / 1000)
-        answer = {"version": 1, "full": not known, "servers": [] if known else self.entries}
+        query = parse_qs(urlsplit(self.path).query)
+        is_current = query.get("index") == ["1"]
+        if is_current:
+            time.sleep(int(query.get("wait", ["0"])[0]) / 1000)
+        answer = {"version": 1, "full": not is_current, "servers": [] if is_current else self.entries}
         body = json.dumps(answer).encode()
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
@@ -55,15 +57,17 @@
         pass
 
 
-def main(words: list[str]) -> int:
-    if len(words) >= 2 and words[0] == "--list":
-        for word in words[2:]:
-            name, _, port = word.partition("=")
-            List.entries.append({"id": name, "addr": f"127.0.0.1:{port}", "zone": "here", "state": "SERVING"})
-        ThreadingHTTPServer(("127.0.0.1", int(words[1])), List).serve_forever()
-    elif len(words) == 2:
-        server = Server(("127.0.0.1", int(words[1])), Session)
-        server.name = words[0]
+def main(arguments: list[str]) -> int:
+    if len(arguments) >= 2 and arguments[0] == "--list":
+        for server_argument in arguments[2:]:
+            name, _, port = server_argument.partition("=")
+            ListHandler.entries.append(
+                {"id": name, "addr": f"127.0.0.1:{port}", "zone": "here", "state": "SERVING"}
+            )
+        ThreadingHTTPServer(("127.0.0.1", int(arguments[1])), ListHandler).serve_forever()
+    elif len(arguments) == 2:
+        server = SessionServer(("127.0.0.1", int(arguments[1])), SessionHandler)
+        server.name = arguments[0]
         server.serve_forever()
     print(__doc__, file=sys.stderr)
     return 2
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario under tests/scenarios/ is played against a balancer of its own, net/ on sockets."""
+"""Runs every scenario under tests/scenarios/ with a new balancer; those in net/ use sockets."""
 
 from pathlib import Path
 
@@ -8,25 +8,25 @@
 
 from .helpers import PolicyScenario, SocketScenario
 
-FOLDER = Path(__file__).parent / "scenarios"
+SCENARIOS = Path(__file__).parent / "scenarios"
 
 
-@pytest.mark.parametrize("path", sorted(FOLDER.glob("*.txt")), ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", sorted(SCENARIOS.glob("*.txt")), ids=lambda path: path.stem)
 def test_scenario(path: Path) -> None:
     PolicyScenario(path).run()
 
 
-@pytest.mark.parametrize("path", sorted(FOLDER.glob("net/*.txt")), ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", sorted(SCENARIOS.glob("net/*.txt")), ids=lambda path: path.stem)
 def test_scenario_on_sockets(path: Path) -> None:
     SocketScenario(path).run()
 
 
-def test_notes_are_told_apart() -> None:
-    """The lines of a file: time, connection, and whether its line is a load or a message's time."""
-    beat, told = Beat(), {}
-    for line in (FOLDER / "told" / "notes_on_the_beat.txt").read_text().splitlines():
+def test_load_and_delay_reports_are_distinguished() -> None:
+    """A line of the file: time, connection, and whether its report is a load or a message delay."""
+    beat, figures_by_connection = Beat(), {}
+    for line in (SCENARIOS / "told" / "notes_on_the_beat.txt").read_text().splitlines():
         if words := line.split("#")[0].split():
-            now, figures = int(words[0]), told.setdefault(words[1], Figures())
+            now, figures = int(words[0]), figures_by_connection.setdefault(words[1], Figures())
             kind = "delay" if beat.is_on(now, figures) else "load"
             if kind == "load":
                 figures.take(now, float(now))
--- a/tools/turns.py
+++ b/tools/turns.py
@@ -245,7 +245,8 @@
     print(
         f"| {count} | {clients.sent_lines / seconds:.0f} | {clients.echoed_lines / seconds:.0f} | "
         f"{len(turns)} | {quantile_ms[0.5]:.2f} | {quantile_ms[0.99]:.1f} | {quantile_ms[0.999]:.1f} | "
-        f"{quantile_ms[1]:.1f} | {long_count} | {max(results['ready'])} | {len(clients.left_at)} | {len(delays_ms['dial'])} | "
+        f"{quantile_ms[1]:.1f} | {long_count} | {max(results['ready'])} | "
+        f"{len(clients.left_at)} | {len(delays_ms['dial'])} | "
         f"{len(late_ms['dial'])} | {max(late_ms['dial'], default=0):.1f} | "
         f"{len(late_ms['line'])} | {max(late_ms['line'], default=0):.1f} |",
         flush=True,
