--- a/tools/turns.py
+++ b/tools/turns.py
@@ -41,12 +41,8 @@
 )
 SERVER_COUNT = 16
 LINE = b"x" * 62 + b"\r\n"
-LINE_INTERVAL_SECONDS, BURST_INTERVAL_SECONDS, LEAVER_INTERVAL_SECONDS, LEAVER_MAX_STAY_SECONDS = (
-    2.0,
-    5.0,
-    0.025,
-    0.15,
-)
+# Seconds; each leaver closes after a random time up to LEAVER_LIFETIME
+LINE_INTERVAL, BURST_INTERVAL, LEAVER_INTERVAL, LEAVER_LIFETIME = 2.0, 5.0, 0.025, 0.15
 
 
 class TimedSelector(selectors.DefaultSelector):
@@ -142,7 +138,7 @@
         self.selector = selectors.DefaultSelector()
         self.sockets: list[socket.socket] = []
         self.sent_lines = self.echoed_lines = 0
-        self.leaving: list[tuple[float, str, socket.socket]] = []  # by the time at which they close
+        self.leaving: list[tuple[float, str, socket.socket]] = []  # time of the close, name, socket
         self.left_at: dict[str, float] = {}
 
     def open(self, count: int) -> None:
@@ -166,7 +162,7 @@
     def open_leaver(self, name: str) -> None:
         sock = socket.create_connection(self.address, timeout=10)
         sock.sendall(b"OPEN %s k c=chat,d=1900\r\n" % name.encode())
-        self.leaving.append((time.monotonic() + random.uniform(0, LEAVER_MAX_STAY_SECONDS), name, sock))
+        self.leaving.append((time.monotonic() + random.uniform(0, LEAVER_LIFETIME), name, sock))
 
     def close_due_leavers(self) -> None:
         now = time.monotonic()
@@ -180,14 +176,14 @@
         started = time.monotonic()
         count, line_count, burst_count, leaver_count = len(self.sockets), 0, 1, 0
         while (elapsed := time.monotonic() - started) < seconds:
-            while line_count < elapsed * count / LINE_INTERVAL_SECONDS:
+            while line_count < elapsed * count / LINE_INTERVAL:
                 self.send_line(line_count % count)
                 line_count += 1
-            if burst and elapsed > burst_count * BURST_INTERVAL_SECONDS:
+            if burst and elapsed > burst_count * BURST_INTERVAL:
                 burst_count += 1
                 for index in random.sample(range(count), int(burst * count)):
                     self.send_line(index)
-            if elapsed > leaver_count * LEAVER_INTERVAL_SECONDS:
+            if elapsed > leaver_count * LEAVER_INTERVAL:
                 leaver_count += 1
                 self.open_leaver(f"leaver{leaver_count}")
             self.close_due_leavers()
