--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from thymedeck import interface
-from thymedeck.lab.cold import LISTENER, SITE
+from thymedeck.lab.cold import DEPLOYMENT, LISTENER
 from thymedeck.policy.balancer import LOAD_CAP, Balancer, Session
 from thymedeck.policy.candidates import AgeStage, ColdGroup, Group, GroupKey
 from thymedeck.policy.server import FADE_TIME, SECOND, Server
@@ -34,7 +34,9 @@
     def __init__(self, seed: int, probes: bool) -> None:
         self.generator = random.Random(seed)
         listeners = (LISTENER, *DEDUPLICATED_LISTENERS)
-        site = replace(SITE, listeners=listeners, replicas=3, may_probe=probes, cross_zone_price=0.1 * probes)
+        site = replace(
+            DEPLOYMENT, listeners=listeners, replicas=3, may_probe=probes, cross_zone_price=0.1 * probes
+        )
         self.balancer = Balancer(seed, site)
         self.now = 100 * SECOND
         self.next_session_id = 0
@@ -52,7 +54,7 @@
         state = generator.choice(
             [interface.ServerState.READY] * 4 + [interface.ServerState.DRAINING, interface.ServerState.GONE]
         )
-        started = generator.choice([0, 0, 1, self.now, self.now - SITE.warm_after - SECOND])
+        started = generator.choice([0, 0, 1, self.now, self.now - DEPLOYMENT.warm_after - SECOND])
         return interface.ServerEntry(
             index, index % 2, index // 4, state, started, generator.choice([1e-6, 0.5, 1.0, 1e9]), index % 3
         )
@@ -225,7 +227,7 @@
 
 # The draw among cold servers that admit a session keeps to weights and kinds of machine.
 def test_cold_servers_are_drawn_by_weight_and_kind() -> None:
-    site = replace(SITE, replicas=1, quota_connections=1e6)
+    site = replace(DEPLOYMENT, replicas=1, quota_connections=1e6)
     balancer = Balancer(1, site)
     now = 100 * SECOND
     weights = {0: 1.0, 1: 3.0, 2: 1.0}
@@ -253,7 +255,7 @@
 # When most servers fail, ejection stops, as the fault may be the balancer's own. That must not keep servers
 # of an unreachable zone in use while the own zone is healthy.
 def test_other_zone_is_ejected_while_own_zone_is_healthy() -> None:
-    balancer = Balancer(1, SITE)
+    balancer = Balancer(1, DEPLOYMENT)
     listed = [
         interface.ServerEntry(index, int(index > 0), 0, interface.ServerState.READY, 0) for index in range(4)
     ]
@@ -266,7 +268,7 @@
 
 
 def test_load_sum_without_sessions_is_exactly_zero() -> None:
-    balancer = Balancer(1, SITE)
+    balancer = Balancer(1, DEPLOYMENT)
     balancer.handle(
         SECOND,
         interface.ServerListUpdated(
--- a/thymedeck/lab/scenario.py
+++ b/thymedeck/lab/scenario.py
@@ -1,14 +1,14 @@
 """Scenario files (TOML): the parties, the faults and actions over time, and the conditions at the end.
 
-Decoding is strict. Raises Unfit with one line that names the file, the entry and the reason. Times ("300 ms")
-and rates ("20 /s") are written with their units.
+Decoding is strict. Raises SettingsFileError with one line that names the file, the entry and the reason.
+Times ("300 ms") and rates ("20 /s") are written with their units.
 """
 
 from typing import Literal
 
 import msgspec
 
-from ..peers.stated import RATES, TIMES, Unfit, figure, sheet_of
+from ..peers.settings import RATE_UNITS, TIME_UNITS, SettingsFileError, load_toml, parse_quantity
 from .faults import Fault
 
 MAX_BALANCERS = 500
@@ -99,12 +99,12 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Raises Unfit."""
-    spec: ScenarioSpec = sheet_of(path, ScenarioSpec)
+    """Raises SettingsFileError."""
+    spec: ScenarioSpec = load_toml(path, ScenarioSpec)
     where = ""
 
     def parse_time(text: str) -> int:
-        return figure(text, TIMES)
+        return parse_quantity(text, TIME_UNITS)
 
     try:
         where = "length"
@@ -119,12 +119,12 @@
                 raise ValueError("count must be at least 1 and limit must not be negative")
         where = "list_service"
         if spec.list_service.capacity:
-            figure(spec.list_service.capacity, RATES)
+            parse_quantity(spec.list_service.capacity, RATE_UNITS)
         if not 0 <= spec.list_service.refusal_cost <= 1:
             raise ValueError("refusal_cost must be between 0 and 1")
         for index, clients in enumerate(spec.clients):
             where = f"clients[{index}]"
-            figure(clients.rate, RATES)
+            parse_quantity(clients.rate, RATE_UNITS)
             parse_time(clients.life), parse_time(clients.deadline)
         faults = []
         for index, fault_spec in enumerate(spec.broken):
@@ -141,7 +141,7 @@
         where = "grace"
         drain_grace = parse_time(spec.grace)
     except ValueError as error:
-        raise Unfit(f"{path}: {where}: {error}") from None
+        raise SettingsFileError(f"{path}: {where}: {error}") from None
     return Scenario(
         spec, duration, faults, sorted(actions, key=lambda timed: timed[0]), agreement_timeout, drain_grace
     )
@@ -151,18 +151,18 @@
     """Converts one entry of the file to one fault per direction. Raises ValueError."""
     if not all(0 <= probability <= 1 for probability in (spec.lose, spec.repeat, spec.garble)):
         raise ValueError("lose, repeat and garble must be between 0 and 1")
-    since = figure(spec.at, TIMES)
+    since = parse_quantity(spec.at, TIME_UNITS)
     effects = {
         "cut": spec.cut,
-        "delay": figure(spec.delay, TIMES) if spec.delay else 0,
-        "spread": figure(spec.spread, TIMES) if spec.spread else 0,
+        "delay": parse_quantity(spec.delay, TIME_UNITS) if spec.delay else 0,
+        "spread": parse_quantity(spec.spread, TIME_UNITS) if spec.spread else 0,
         "lose": spec.lose,
         "repeat": spec.repeat,
         "garble": spec.garble,
     }
     if not any(effects.values()):
         raise ValueError("the entry has no effect")
-    until = since + figure(spec.lasts, TIMES)
+    until = since + parse_quantity(spec.lasts, TIME_UNITS)
     first, second = spec.between
     directions = [(first, second)] if spec.one_way else [(first, second), (second, first)]
     return [Fault(since, until, source, target, **effects) for source, target in directions]
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -24,16 +24,23 @@
 from ..net.service import Service
 from ..net.system import System
 from ..net.told import Start, Told, server_address
-from ..peers.carrier import Carrier
-from ..peers.messages import LARGEST, VERSION, Envelope, Kind, Message, Unusable, encode
-from ..peers.node import TICK, Peer, Peers
-from ..peers.stated import Stated, spelt
-from ..peers.stated import read as read_peers
-from ..peers.words import Came, Event, Send, Tick
+from ..peers.events import Event, MessageReceived, Send, Tick
+from ..peers.membership import TICK, Membership, Peer
+from ..peers.messages import (
+    MAX_DATAGRAM_BYTES,
+    VERSION,
+    DatagramCodec,
+    DatagramError,
+    Message,
+    MessageKind,
+    encode,
+)
+from ..peers.settings import PeerSettings, format_address, load_peer_settings
+from ..peers.transport import PeerTransport
 from .faults import FaultInjector
+from .membership import peer_settings
 from .records import Record
-from .standins import Crowd, Door, Listed, ListService, Server
-from .talk import stated
+from .standins import ClientGroup, ListedServer, ListeningSocket, ListService, Server
 from .world import Machine, VirtualNetwork
 
 SECOND = 10_000
@@ -55,8 +62,8 @@
         self.faults = FaultInjector(seed)
         self.list_service = ListService(loop, self.record, self.server_address_for)
         self.servers: dict[str, Server] = {}
-        self.known_servers: list[Listed] = []  # given to balancers as their last known list
-        self.client_groups: list[Crowd] = []
+        self.known_servers: list[ListedServer] = []  # given to balancers as their last known list
+        self.client_groups: list[ClientGroup] = []
         self.alive: set[str] = set()  # balancers that run and were not told to stop
 
     def now(self) -> int:
@@ -70,10 +77,12 @@
 
     def add_clients(
         self, seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int
-    ) -> Crowd:
-        clients = Crowd(self.loop, self.record, self.client_endpoints, seed, rate, life, classes, deadline)
+    ) -> ClientGroup:
+        clients = ClientGroup(
+            self.loop, self.record, self.client_endpoints, seed, rate, life, classes, deadline
+        )
         self.client_groups.append(clients)
-        clients.start()
+        clients.schedule_arrival()
         return clients
 
     def client_endpoints(self) -> list[tuple[str, tuple[str, int]]]:
@@ -83,8 +92,8 @@
     def balancer_config(self, name: str, seed: int) -> dict:
         return {
             "name": name,
-            "listen": spelt(self.listen_address(name)),
-            "discovery": spelt(self.list_address(name)),
+            "listen": format_address(self.listen_address(name)),
+            "discovery": format_address(self.list_address(name)),
             "seed": f"{seed:x}",
             "settings": self.settings,
             "known": {
@@ -145,7 +154,7 @@
         self.network.host_names |= {"10.2.0.1": "list", "10.3.0.1": "clients"}
         self.machines: dict[str, Machine] = {}
         self.services: dict[str, Service] = {}
-        self.carriers: dict[str, Carrier] = {}
+        self.carriers: dict[str, PeerTransport] = {}
         self.names_by_host: dict[str, str] = {}
         self.hosts: dict[str, str] = {}
 
@@ -163,7 +172,7 @@
         return self.hosts[name]
 
     def open_server(self, server: Server) -> None:
-        server.listen((self.host_of(server.ident), 8000), lambda source: self.network.name_of(source[0]))
+        server.listen((self.host_of(server.server_id), 8000), lambda source: self.network.name_of(source[0]))
 
     def server_address_for(self, server: str, balancer: str) -> str:
         return f"{self.host_of(server)}:8000"
@@ -175,15 +184,15 @@
 
     def list_address(self, name: str) -> tuple[str, int]:
         port = 10_000 + int(name[1:])
-        if name not in self.list_service.doors:
-            self.list_service.open_for(name, ("10.2.0.1", port))
+        if name not in self.list_service.listening_sockets:
+            self.list_service.listen_for(name, ("10.2.0.1", port))
         return "10.2.0.1", port
 
-    def peers_settings(self, name: str) -> Stated:
+    def peers_settings(self, name: str) -> PeerSettings:
         address = (self.host_of(name), 7946)
         join = tuple(f"{self.host_of(f'b{index}')}:7946" for index in range(3))
-        own = {"listen": address, "advertise": spelt(address), "keys": (bytes.fromhex(SHARED_KEY),)}
-        return stated(0, join, **(self.peers_options | own))
+        own = {"listen": address, "advertise": format_address(address), "keys": (bytes.fromhex(SHARED_KEY),)}
+        return peer_settings(0, join, **(self.peers_options | own))
 
     def start(self, name: str) -> None:
         machine = self.machines[name] = Machine(self.network, self.host_of(name))
@@ -196,7 +205,7 @@
         service.loop.running = True
         self.network.loops.append(service.loop)
         if self.peers_options is not None:
-            self.carriers[name] = Carrier(service, self.peers_settings(name), machine, name, start.seed)
+            self.carriers[name] = PeerTransport(service, self.peers_settings(name), machine, name, start.seed)
         self.alive.add(name)
         self.record.note("started", balancer=name)
 
@@ -328,7 +337,7 @@
         self.source = source
         self.target = target
         self.destination = destination
-        self.listener = Door(testbed.loop, ("127.0.0.1", 0), self.accept)
+        self.listener = ListeningSocket(testbed.loop, ("127.0.0.1", 0), self.accept)
 
     def accept(self, sock: object, source: tuple[str, int]) -> None:
         near = Pipe(self, sock, self.source, self.target)
@@ -405,8 +414,8 @@
         self.errors.append(error)
 
     def open_server(self, server: Server) -> None:
-        self.server_addresses[server.ident] = server.listen(
-            self.server_addresses.get(server.ident) or self.unused_address(),
+        self.server_addresses[server.server_id] = server.listen(
+            self.server_addresses.get(server.server_id) or self.unused_address(),
             lambda source: self.source_names.pop(source, "?"),
         )
 
@@ -420,7 +429,7 @@
         destination = self.server_addresses.get(server) or self.server_addresses.setdefault(
             server, self.unused_address()
         )
-        return spelt(self.relay_address(balancer, server, destination))
+        return format_address(self.relay_address(balancer, server, destination))
 
     def unused_address(self) -> tuple[str, int]:
         self.port += 1
@@ -435,9 +444,9 @@
         return self.relay_address("clients", name, self.listen_address(name))
 
     def list_address(self, name: str) -> tuple[str, int]:
-        if name not in self.list_service.doors:
-            self.list_service.open_for(name, ("127.0.0.1", 0))
-        return self.relay_address(name, "list", self.list_service.doors[name].address)
+        if name not in self.list_service.listening_sockets:
+            self.list_service.listen_for(name, ("127.0.0.1", 0))
+        return self.relay_address(name, "list", self.list_service.listening_sockets[name].address)
 
     def write_peers_file(self, name: str) -> Path:
         """Writes the peers settings; creates datagram relays, whose addresses outlive balancer restarts."""
@@ -449,11 +458,12 @@
         relay = self.datagram_relays[name]
         entries = {
             "fleet": "lab",
-            "listen": spelt(relay.destination),
-            "advertise": spelt(relay.sock.getsockname()),
+            "listen": format_address(relay.destination),
+            "advertise": format_address(relay.sock.getsockname()),
             "key_file": "peers.key",
             "join": [
-                spelt(self.datagram_relays[balancer].sock.getsockname()) for balancer in ("b0", "b1", "b2")
+                format_address(self.datagram_relays[balancer].sock.getsockname())
+                for balancer in ("b0", "b1", "b2")
             ],
             "answer_within": "300 ms",
         }
@@ -515,8 +525,8 @@
         """Starts that many balancers with one listed server; returns their names once they accept clients."""
         names = [f"b{index}" for index in range(balancers)]
         self.add_server("s0")
-        self.known_servers = [Listed("s0")]
-        self.list_service.set(*self.known_servers)
+        self.known_servers = [ListedServer("s0")]
+        self.list_service.update_servers(*self.known_servers)
         for name in names:
             self.start(name)
         self.wait_until_started(*names)
@@ -585,8 +595,8 @@
         for process in self.processes.values():
             process.wait()
         for listener in [
-            *self.list_service.doors.values(),
-            *(listener for server in self.servers.values() for listener in server.doors),
+            *self.list_service.listening_sockets.values(),
+            *(listener for server in self.servers.values() for listener in server.listening_sockets),
         ]:
             listener.close()
         for relay in self.stream_relays.values():
@@ -617,10 +627,10 @@
         address = self.sock.getsockname()
         testbed.datagram_relays[name] = DatagramRelay(testbed, name, address)
         testbed.datagram_source_names[address] = name
-        own = read_peers(str(testbed.write_peers_file(name)))
-        self.envelope = Envelope(own.fleet, [bytes.fromhex(key)])
+        own = load_peer_settings(str(testbed.write_peers_file(name)))
+        self.envelope = DatagramCodec(own.fleet, [bytes.fromhex(key)])
         unix_ms = testbed.system.time_ns() // 1_000_000
-        self.peers = Peers(own, name, 1, self.loop.now(), unix_ms, 1)
+        self.peers = Membership(own, name, 1, self.loop.now(), unix_ms, 1)
         self.received: list[Message] = []
         self.sends_extra_fields = False  # as a later version of the protocol might
         self.loop.watch(self.sock, 0, READ, self)
@@ -637,7 +647,7 @@
                 self.send(action.address, action.message)
 
     def send(self, address: str, message: Message) -> None:
-        data = self.envelope.close(message)
+        data = self.envelope.seal(message)
         if self.sends_extra_fields:
             body = msgspec.msgpack.encode([*msgspec.msgpack.decode(encode(message)), {"newer": True}])
             data = self.envelope.digest(self.envelope.keys[0], body) + body
@@ -647,7 +657,7 @@
         with contextlib.suppress(OSError):
             self.sock.sendto(data, server_address(address))
 
-    def send_forged(self, peer: Peer, kind: Kind, name: str = "", **fields: object) -> None:
+    def send_forged(self, peer: Peer, kind: MessageKind, name: str = "", **fields: object) -> None:
         """Sends a message with any content to a known peer, also in the name of another member."""
         self.peers.counter += 1
         identity = (self.peers.incarnation, self.peers.counter)
@@ -659,13 +669,13 @@
     def ready(self, mask: int) -> None:
         while True:
             try:
-                data = self.sock.recv(LARGEST + 1)
+                data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            with contextlib.suppress(Unusable):
+            with contextlib.suppress(DatagramError):
                 message = self.envelope.open(data)
                 self.received.append(message)
-                self.handle_event(Came(message, len(data)))
+                self.handle_event(MessageReceived(message, len(data)))
 
     def close(self) -> None:
         self.loop.watch(self.sock, READ, 0, self)
--- a/thymedeck/policy/balancer.py
+++ b/thymedeck/policy/balancer.py
@@ -8,7 +8,7 @@
 answer or its end.
 
 Sessions are placed on the server with the smallest sum of the loads of this balancer's own sessions, as
-balancers don't know one another's sessions. Around that rule there are, each in a section of its own: an
+balancers don't know one another's sessions. Around that rule there are: an
 initial load for new servers, slow start for cold ones, a learned load cap, a circuit breaker for each
 server, throttling when set-ups fail on the whole fleet, and moves of sessions off overloaded servers. A
 decision visits the servers with own state one by one and all others in groups (candidates.py).
