--- a/tests/list_calls.py
+++ b/tests/list_calls.py
@@ -13,9 +13,9 @@
 
 from msgspec import Struct
 
-from thymedeck.lab.play import deployment_settings
-from thymedeck.lab.stage import SECOND, VirtualTestbed
+from thymedeck.lab.scenario_run import deployment_settings
 from thymedeck.lab.standins import ListedServer
+from thymedeck.lab.testbed import SECOND, VirtualTestbed
 
 LONGEST = 70 * SECOND
 
--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -14,7 +14,7 @@
 import pytest
 
 from thymedeck.lab.standins import ListeningSocket
-from thymedeck.lab.world import Machine, VirtualNetwork
+from thymedeck.lab.virtual_network import Machine, VirtualNetwork
 from thymedeck.net.connection import Connection
 from thymedeck.net.loop import Loop
 from thymedeck.net.service import Service
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.helpers import SETTINGS
-from thymedeck.lab.world import BUFFER_BYTES, Machine, MemorySocket, VirtualNetwork
+from thymedeck.lab.virtual_network import BUFFER_BYTES, Machine, MemorySocket, VirtualNetwork
 from thymedeck.net.connection import Connection
 from thymedeck.net.loop import READ, Loop
 from thymedeck.net.service import Service
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -9,9 +9,9 @@
 
 from thymedeck import interface
 from thymedeck.lab import checks
-from thymedeck.lab.play import EFFECTS, deployment_settings
-from thymedeck.lab.stage import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
+from thymedeck.lab.scenario_run import EFFECTS, deployment_settings
 from thymedeck.lab.standins import ListedServer
+from thymedeck.lab.testbed import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
 from thymedeck.net.clients import Client
 from thymedeck.net.service import TOLD_AT_ONCE, Service
 from thymedeck.net.told import Listing
--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -8,9 +8,9 @@
 import pytest
 
 from tests.helpers import SETTINGS
-from thymedeck.lab.play import ScenarioRun
 from thymedeck.lab.scenario import read_scenario
-from thymedeck.lab.stage import SECOND, VirtualTestbed
+from thymedeck.lab.scenario_run import ScenarioRun
+from thymedeck.lab.testbed import SECOND, VirtualTestbed
 from thymedeck.peers.settings import load_peer_settings, parse_quantity
 
 ROOT = Path(__file__).parents[1]
@@ -143,7 +143,7 @@
 
 def test_reading_is_rate_limited_in_a_flood(folder: Path) -> None:
     """A balancer on the virtual stage reads at most its limit of datagrams a second, plus a small margin."""
-    from thymedeck.lab.play import deployment_settings
+    from thymedeck.lab.scenario_run import deployment_settings
 
     stage = VirtualTestbed(1, deployment_settings(1, ["m1"], ["a"]), {})
     stage.start("b0")
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -7,9 +7,9 @@
 
 from thymedeck.lab import checks
 from thymedeck.lab.__main__ import main
-from thymedeck.lab.play import ScenarioRun, deployment_settings
 from thymedeck.lab.scenario import read_scenario
-from thymedeck.lab.stage import SECOND, SHARED_KEY, FakePeer, ProcessTestbed
+from thymedeck.lab.scenario_run import ScenarioRun, deployment_settings
+from thymedeck.lab.testbed import SECOND, SHARED_KEY, FakePeer, ProcessTestbed
 from thymedeck.peers.messages import MessageKind, Rumour, RumourStatus, SessionCounts
 from thymedeck.peers.settings import SettingsFileError
 
--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -6,9 +6,9 @@
 from ..peers.settings import SettingsFileError
 from . import cold, configuration_scenarios, membership
 from .measure import measure_processes
-from .play import ScenarioRun
 from .scale import command as scale
 from .scenario import read_scenario
+from .scenario_run import ScenarioRun
 
 
 def main() -> int:
--- a/thymedeck/lab/measure.py
+++ b/thymedeck/lab/measure.py
@@ -1,8 +1,8 @@
 """Measures the cost and detection times of peers on real daemons, from their logs, the relays and /proc."""
 
 from .membership import cut_by_parity
-from .play import deployment_settings
-from .stage import SECOND, ProcessTestbed, cpu_seconds
+from .scenario_run import deployment_settings
+from .testbed import SECOND, ProcessTestbed, cpu_seconds
 
 CONVERGENCE_TIMEOUT = 60 * SECOND
 
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -13,8 +13,8 @@
 from ...peers.messages import DatagramCodec, DatagramError, Message, MessageKind, SessionCounts
 from ..measure import CONVERGENCE_TIMEOUT
 from ..membership import KEYS, SECOND, ActualSessions, MembershipSimulation, peak_in_one_second
-from ..play import deployment_settings
-from ..stage import SHARED_KEY, ProcessTestbed, cpu_seconds
+from ..scenario_run import deployment_settings
+from ..testbed import SHARED_KEY, ProcessTestbed, cpu_seconds
 from .process import resident_bytes, run_in_subprocess
 
 MESSAGE_KINDS = ("ping", "ack", "ask", "proof", "news", "counts")
--- a/thymedeck/lab/scale/daemon.py
+++ b/thymedeck/lab/scale/daemon.py
@@ -12,8 +12,8 @@
 
 import orjson
 
-from ..play import deployment_settings
-from ..stage import SHARED_KEY
+from ..scenario_run import deployment_settings
+from ..testbed import SHARED_KEY
 from .process import cpu_seconds, open_descriptors, resident_bytes
 
 READY_TIMEOUT = 60.0
--- a/thymedeck/lab/scale/server_list.py
+++ b/thymedeck/lab/scale/server_list.py
@@ -13,7 +13,7 @@
 from ... import interface
 from ...policy import Balancer
 from ...settings import Settings, deployment_from
-from ..play import deployment_settings
+from ..scenario_run import deployment_settings
 from .daemon import Daemon, server_entry
 from .endpoints import run_list_service
 from .process import Worker, resident_bytes, run_in_subprocess
--- a/thymedeck/lab/play.py
+++ b/thymedeck/lab/scenario_run.py
@@ -8,8 +8,8 @@
 from ..peers.settings import RATE_UNITS, TIME_UNITS, parse_quantity
 from . import checks
 from .scenario import Scenario, TimedAction
-from .stage import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
 from .standins import ListedServer
+from .testbed import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
 
 EFFECTS = {"chat": "repeatable", "once": "once"}
 SETTLE_TIME = 5 * SECOND  # after the scenario's length, so that pending requests are answered
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/testbed.py
@@ -41,7 +41,7 @@
 from .membership import peer_settings
 from .records import Record
 from .standins import ClientGroup, ListedServer, ListeningSocket, ListService, Server
-from .world import Machine, VirtualNetwork
+from .virtual_network import Machine, VirtualNetwork
 
 SECOND = 10_000
 MS = 10
