--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from thymedeck.lab.membership import KEYS, SECOND, MembershipSimulation, peer_address
+from thymedeck.lab.membership_simulation import KEYS, SECOND, MembershipSimulation, peer_address
 from thymedeck.peers import membership
 from thymedeck.peers.counts_table import CountsTable
 from thymedeck.peers.events import CountsUpdated
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from thymedeck.lab.membership import MembershipSimulation
+from thymedeck.lab.membership_simulation import MembershipSimulation
 from thymedeck.lab.scale import control, server_list, sessions
 from thymedeck.lab.scale.command import RESULTS_FOLDER, SWEEPS, Sweep, add_parser, run
 from thymedeck.lab.scale.fits import fit_line
--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -4,7 +4,7 @@
 import sys
 
 from ..peers.settings import SettingsFileError
-from . import cold, configuration_scenarios, membership
+from . import cold, configuration_scenarios, membership_simulation
 from .measure import measure_processes
 from .scale import command as scale
 from .scenario import read_scenario
@@ -56,7 +56,11 @@
     if arguments.command == "peers" and arguments.processes:
         for size in arguments.balancers:
             print(
-                "\n".join(measure_processes(size, arguments.seed, round(arguments.quiet * membership.SECOND)))
+                "\n".join(
+                    measure_processes(
+                        size, arguments.seed, round(arguments.quiet * membership_simulation.SECOND)
+                    )
+                )
             )
         return 0
     if arguments.command == "peers":
@@ -74,7 +78,7 @@
         + "| --- " * len(configuration_scenarios.COLUMNS)
         + "|"
     )
-    cut_duration = round(arguments.cut * membership.SECOND)
+    cut_duration = round(arguments.cut * membership_simulation.SECOND)
     configuration_scenarios.run_scenarios(
         configuration_scenarios.Options(arguments.balancers, arguments.size, cut_duration),
         arguments.seed,
@@ -85,10 +89,18 @@
 
 def measure_peers(sizes: list[int], seed: int, quiet: float, acquainted: bool) -> int:
     """Prints a row for each fleet size as soon as it is measured."""
-    print("| " + " | ".join(membership.COLUMNS) + " |\n" + "| --- " * len(membership.COLUMNS) + "|")
+    print(
+        "| "
+        + " | ".join(membership_simulation.COLUMNS)
+        + " |\n"
+        + "| --- " * len(membership_simulation.COLUMNS)
+        + "|"
+    )
     for size in sizes:
-        figures = membership.measure(size, seed, round(quiet * membership.SECOND), acquainted)
-        print("| " + " | ".join(membership.format_row(figures)) + " |", flush=True)
+        figures = membership_simulation.measure(
+            size, seed, round(quiet * membership_simulation.SECOND), acquainted
+        )
+        print("| " + " | ".join(membership_simulation.format_row(figures)) + " |", flush=True)
     return 0
 
 
--- a/thymedeck/lab/measure.py
+++ b/thymedeck/lab/measure.py
@@ -1,6 +1,6 @@
 """Measures the cost and detection times of peers on real daemons, from their logs, the relays and /proc."""
 
-from .membership import cut_by_parity
+from .membership_simulation import cut_by_parity
 from .scenario_run import deployment_settings
 from .testbed import SECOND, ProcessTestbed, cpu_seconds
 
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -12,7 +12,7 @@
 from ...peers.membership import Membership
 from ...peers.messages import DatagramCodec, DatagramError, Message, MessageKind, SessionCounts
 from ..measure import CONVERGENCE_TIMEOUT
-from ..membership import KEYS, SECOND, ActualSessions, MembershipSimulation, peak_in_one_second
+from ..membership_simulation import KEYS, SECOND, ActualSessions, MembershipSimulation, peak_in_one_second
 from ..scenario_run import deployment_settings
 from ..testbed import SHARED_KEY, ProcessTestbed, cpu_seconds
 from .process import resident_bytes, run_in_subprocess
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -16,7 +16,7 @@
 from ...peers.events import Action, CountsUpdated, MessageReceived, Send, Tick
 from ...peers.membership import TICK, Membership, Peer
 from ...peers.messages import MAX_DATAGRAM_BYTES, DatagramCodec, DatagramError
-from ..membership import SECOND, ActualSessions, peer_settings
+from ..membership_simulation import SECOND, ActualSessions, peer_settings
 from ..testbed import SHARED_KEY
 from .control import MessageTally
 from .daemon import Daemon
--- a/thymedeck/lab/testbed.py
+++ b/thymedeck/lab/testbed.py
@@ -38,7 +38,7 @@
 from ..peers.settings import PeerSettings, format_address, load_peer_settings
 from ..peers.transport import PeerTransport
 from .faults import FaultInjector
-from .membership import peer_settings
+from .membership_simulation import peer_settings
 from .records import Record
 from .standins import ClientGroup, ListedServer, ListeningSocket, ListService, Server
 from .virtual_network import Machine, VirtualNetwork
