--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,7 @@
     DEPLOYMENT,
     START_TIME,
     Case,
-    Fleet,
+    WarmUpFleet,
     failure_bounds,
     probability_of_at_least,
     run_warm_up,
@@ -16,7 +16,7 @@
 from thymedeck.policy import chance_for
 
 
-class ShareCheckingFleet(Fleet):
+class ShareCheckingFleet(WarmUpFleet):
     """Records by how much a balancer exceeds its own share of the budget of a cold server."""
 
     max_excess = 0  # sessions of one balancer in a window, less its share at that time
@@ -67,7 +67,7 @@
     """With many more dials than draws, the sessions sent match the expected value of the draws."""
     rounds, expected, sent = 10, 0.0, 0
     for seed in range(rounds):
-        fleet = Fleet(Case(30, 20, arrivals_per_second=120.0), seed)
+        fleet = WarmUpFleet(Case(30, 20, arrivals_per_second=120.0), seed)
         for age in range(0, DEPLOYMENT.warm_after, DEPLOYMENT.warm_after // 20):
             probabilities = sum(chance_for(share, 30) for share in fleet.budget_shares(START_TIME + age))
             expected += probabilities * DEPLOYMENT.warm_after / DEPLOYMENT.overload_window / 20
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -39,9 +39,9 @@
     decode,
     encode,
 )
-from thymedeck.configuration.settings import read_settings
+from thymedeck.configuration.settings import load_configuration_settings
 from thymedeck.lab.configuration_fleet import Fleet, Node
-from thymedeck.lab.configuration_scenarios import SCENARIOS, Options, ScenarioRun
+from thymedeck.lab.configuration_scenarios import SCENARIOS, ConfigurationScenarioRun, Options
 from thymedeck.lab.faults import Fault
 from thymedeck.peers.settings import SettingsFileError
 
@@ -603,7 +603,7 @@
 
 @pytest.mark.parametrize("title", SCENARIOS)
 def test_each_scenario_of_the_lab_is_in_force_everywhere_within_the_bound(title: str) -> None:
-    run = ScenarioRun(Options(balancers=24, content_size=200, cut_duration=15 * SECOND), 1)
+    run = ConfigurationScenarioRun(Options(balancers=24, content_size=200, cut_duration=15 * SECOND), 1)
     SCENARIOS[title](run)
     last = float(run.measure()[2])
     assert last * SECOND <= IN_FORCE_WITHIN
@@ -611,7 +611,7 @@
 
 def test_the_bytes_per_follower_do_not_grow_with_the_fleet() -> None:
     def bytes_each(balancers: int) -> float:
-        run = ScenarioRun(Options(balancers, content_size=200, cut_duration=0), 1)
+        run = ConfigurationScenarioRun(Options(balancers, content_size=200, cut_duration=0), 1)
         run.submit(0, b"second")
         return float(run.measure()[4])
 
@@ -639,10 +639,13 @@
 
 
 def test_the_file_in_deploy_states_the_defaults(tmp_path: Path) -> None:
-    shown = read_settings(str(Path(__file__).parents[1] / "deploy" / "configuration.toml"))
-    assert shown.parameters == Parameters() == read_settings(settings_file(tmp_path)).parameters
-    assert read_settings(settings_file(tmp_path)).saved_path == tmp_path / "last"
-    assert read_settings(settings_file(tmp_path, ask_every="1500 ms")).parameters.ask_every == 15_000
+    shown = load_configuration_settings(str(Path(__file__).parents[1] / "deploy" / "configuration.toml"))
+    assert shown.parameters == Parameters() == load_configuration_settings(settings_file(tmp_path)).parameters
+    assert load_configuration_settings(settings_file(tmp_path)).saved_path == tmp_path / "last"
+    assert (
+        load_configuration_settings(settings_file(tmp_path, ask_every="1500 ms")).parameters.ask_every
+        == 15_000
+    )
 
 
 @pytest.mark.parametrize(
@@ -670,5 +673,5 @@
 def test_invalid_settings_are_refused_with_one_line(tmp_path: Path, changed: dict, line: str) -> None:
     path = settings_file(tmp_path, **changed)
     with pytest.raises(SettingsFileError) as error:
-        read_settings(path)
+        load_configuration_settings(path)
     assert str(error.value) == f"{path}: {line}"
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -139,11 +139,11 @@
 def test_full_buffer_blocks_the_sender_and_a_reset_is_an_error() -> None:
     network = VirtualNetwork(delay_ns=1_000)
     near, far = Machine(network, "10.0.0.1"), Machine(network, "10.0.0.2")
-    door = far.listen(("10.0.0.2", 1), 4)
+    listener = far.listen(("10.0.0.2", 1), 4)
     sock = near.stream()
     sock.connect_ex(("10.0.0.2", 1))
     network.run(10_000)
-    other = door.accept()[0]
+    other = listener.accept()[0]
     assert sock.sendmsg([memoryview(bytes(BUFFER_BYTES + 1))]) == BUFFER_BYTES
     assert not sock.ready_mask()
     network.run(10_000)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -41,29 +41,29 @@
 
 
 def converged_fleet(balancers: int = SIZE, seed: int = 1, **more: object) -> MembershipSimulation:
-    talk = MembershipSimulation(balancers, seed, **more)
-    assert talk.run_until(talk.all_agree, 30 * SECOND) >= 0
-    talk.run(3 * SECOND)
-    return talk
+    simulation = MembershipSimulation(balancers, seed, **more)
+    assert simulation.run_until(simulation.all_agree, 30 * SECOND) >= 0
+    simulation.run(3 * SECOND)
+    return simulation
 
 
-def check_limits(talk: MembershipSimulation) -> None:
-    limit = talk.overrides.get("send_most", 2_000)
-    assert talk.peak_bytes_per_second() <= limit
-    assert all(len(node.peers) <= node.settings.peers_most for node in talk.nodes.values())
+def check_limits(simulation: MembershipSimulation) -> None:
+    limit = simulation.overrides.get("send_most", 2_000)
+    assert simulation.peak_bytes_per_second() <= limit
+    assert all(len(member.peers) <= member.settings.peers_most for member in simulation.members.values())
 
 
 def test_a_death_is_detected_within_five_seconds_and_a_restart_is_a_new_process() -> None:
-    talk = converged_fleet()
-    old_process = talk.node(3)
-    talk.kill(3)
-    assert talk.run_until(lambda: not talk.count_holders("b3"), 5 * SECOND) >= 0
-    assert all("b3" not in node.counts_table.received for node in talk.alive().values())
-    new_process = talk.start("b3", peer_address(3))
-    assert talk.run_until(talk.all_agree, 10 * SECOND) >= 0
+    simulation = converged_fleet()
+    old_process = simulation.member(3)
+    simulation.kill(3)
+    assert simulation.run_until(lambda: not simulation.count_holders("b3"), 5 * SECOND) >= 0
+    assert all("b3" not in member.counts_table.received for member in simulation.alive().values())
+    new_process = simulation.start("b3", peer_address(3))
+    assert simulation.run_until(simulation.all_agree, 10 * SECOND) >= 0
     assert new_process.incarnation // PROCESS_SPAN > old_process.incarnation // PROCESS_SPAN
     # Messages of the old process may still arrive; they are dropped.
-    observer = talk.node(0)
+    observer = simulation.member(0)
     known, count_before = observer.peers["b3"].incarnation, observer.dropped["old incarnation"]
     late_ping = Message(
         VERSION,
@@ -73,179 +73,181 @@
         10**6,
         token=observer.token_for(peer_address(3)),
     )
-    talk.deliver(peer_address(0), talk.envelopes[peer_address(0)].seal(late_ping))
+    simulation.deliver(peer_address(0), simulation.codecs[peer_address(0)].seal(late_ping))
     assert (observer.peers["b3"].incarnation, observer.dropped["old incarnation"]) == (
         known,
         count_before + 1,
     )
-    check_limits(talk)
+    check_limits(simulation)
 
 
 def test_a_partition_heals_and_the_totals_agree_again() -> None:
-    talk = converged_fleet(10)
+    simulation = converged_fleet(10)
     for one, other in (("b[0-4]", "b[5-9]"), ("b[5-9]", "b[0-4]")):
-        talk.add_fault(0, 15 * SECOND, one, other, cut=True)
-    talk.run(14 * SECOND)
-    for node in talk.nodes.values():
-        half = "01234" if node.name[1] in "01234" else "56789"
-        assert {peer.name for peer in node.alive_peers()} == {f"b{at}" for at in half} - {node.name}
-        assert node.fleet_totals(talk.now).coverage == 0.5
-    talk.run(SECOND)
-    assert talk.run_until(talk.all_agree, 5 * SECOND) >= 0
-    for truth in talk.actual_sessions.values():
-        truth.update = lambda truth=truth: SessionCounts(1, [("full", truth.by_server.total())])
-    talk.run(15 * SECOND)
-    total = sum(truth.by_server.total() for truth in talk.actual_sessions.values())
-    for node in talk.nodes.values():
-        totals = node.fleet_totals(talk.now)
+        simulation.add_fault(0, 15 * SECOND, one, other, cut=True)
+    simulation.run(14 * SECOND)
+    for member in simulation.members.values():
+        half = "01234" if member.name[1] in "01234" else "56789"
+        assert {peer.name for peer in member.alive_peers()} == {f"b{at}" for at in half} - {member.name}
+        assert member.fleet_totals(simulation.now).coverage == 0.5
+    simulation.run(SECOND)
+    assert simulation.run_until(simulation.all_agree, 5 * SECOND) >= 0
+    for sessions in simulation.actual_sessions.values():
+        sessions.update = lambda sessions=sessions: SessionCounts(1, [("full", sessions.by_server.total())])
+    simulation.run(15 * SECOND)
+    total = sum(sessions.by_server.total() for sessions in simulation.actual_sessions.values())
+    for member in simulation.members.values():
+        totals = member.fleet_totals(simulation.now)
         assert (totals.coverage, sum(totals.by_kind.values())) == (1.0, total)
-    check_limits(talk)
+    check_limits(simulation)
 
 
-@pytest.mark.parametrize("way", [("b2", "b5"), ("b5", "b2")])
-def test_a_one_way_cut_between_two_peers_causes_no_false_death(way: tuple[str, str]) -> None:
-    talk = converged_fleet()
-    talk.add_fault(0, 60 * SECOND, *way, cut=True)
-    talk.run(60 * SECOND)
-    assert not talk.count_falsely_gone()
-    check_limits(talk)
+@pytest.mark.parametrize("direction", [("b2", "b5"), ("b5", "b2")])
+def test_a_one_way_cut_between_two_peers_causes_no_false_death(direction: tuple[str, str]) -> None:
+    simulation = converged_fleet()
+    simulation.add_fault(0, 60 * SECOND, *direction, cut=True)
+    simulation.run(60 * SECOND)
+    assert not simulation.count_falsely_gone()
+    check_limits(simulation)
 
 
 def test_a_balancer_that_receives_nothing_reports_its_low_coverage() -> None:
-    talk = converged_fleet()
-    talk.add_fault(0, 100 * SECOND, "*", "b4", cut=True)
-    talk.run(100 * SECOND)
-    isolated = talk.node(4)
+    simulation = converged_fleet()
+    simulation.add_fault(0, 100 * SECOND, "*", "b4", cut=True)
+    simulation.run(100 * SECOND)
+    isolated = simulation.member(4)
     assert (
         not isolated.alive_peers()
-        and isolated.fleet_totals(talk.now).covered == 1
-        and isolated.fleet_totals(talk.now).coverage == 1 / SIZE
+        and isolated.fleet_totals(simulation.now).covered == 1
+        and isolated.fleet_totals(simulation.now).coverage == 1 / SIZE
     )
-    assert talk.run_until(talk.all_agree, 10 * SECOND) >= 0
-    assert isolated.fleet_totals(talk.now + 20 * SECOND).expected == SIZE
+    assert simulation.run_until(simulation.all_agree, 10 * SECOND) >= 0
+    assert isolated.fleet_totals(simulation.now + 20 * SECOND).expected == SIZE
 
 
 def test_stalled_balancers_declare_nobody_dead() -> None:
-    talk = converged_fleet(9)
+    simulation = converged_fleet(9)
     for at in (0, 3, 6):
-        talk.freeze(at, 20 * SECOND)
-    talk.run(19 * SECOND)
-    running = [talk.node(at) for at in range(9) if at % 3]
+        simulation.freeze(at, 20 * SECOND)
+    simulation.run(19 * SECOND)
+    running = [simulation.member(at) for at in range(9) if at % 3]
     assert all(
-        {peer.name for peer in node.alive_peers()} == {one.name for one in running} - {node.name}
-        for node in running
+        {peer.name for peer in member.alive_peers()} == {one.name for one in running} - {member.name}
+        for member in running
     )
-    since = len(talk.logs)
-    assert talk.run_until(talk.all_agree, 8 * SECOND) >= 0
-    woken = [text for _, name, text in talk.logs[since:] if name in ("b0", "b3", "b6")]
+    since = len(simulation.logs)
+    assert simulation.run_until(simulation.all_agree, 8 * SECOND) >= 0
+    woken = [text for _, name, text in simulation.logs[since:] if name in ("b0", "b3", "b6")]
     assert any(text.startswith("late by") for text in woken) and not any("gone" in text for text in woken)
-    check_limits(talk)
+    check_limits(simulation)
 
 
 def test_half_the_fleet_restarts_with_clocks_an_hour_behind() -> None:
-    talk = converged_fleet()
+    simulation = converged_fleet()
     for at in range(0, SIZE, 2):
-        talk.kill(at)
-    talk.run(2 * SECOND)
+        simulation.kill(at)
+    simulation.run(2 * SECOND)
     for at in range(0, SIZE, 2):
-        talk.start(f"b{at}", peer_address(at), unix_ms=1_790_000_000_000 - 3_600_000)
-    assert talk.run_until(talk.all_agree, 30 * SECOND) >= 0
-    check_limits(talk)
+        simulation.start(f"b{at}", peer_address(at), unix_ms=1_790_000_000_000 - 3_600_000)
+    assert simulation.run_until(simulation.all_agree, 30 * SECOND) >= 0
+    check_limits(simulation)
 
 
 class MaliciousMember:
     """A member with a valid key that sends arbitrary messages from its own address."""
 
-    def __init__(self, talk: MembershipSimulation, at: int) -> None:
-        self.talk = talk
-        self.node = talk.node(at)
+    def __init__(self, simulation: MembershipSimulation, at: int) -> None:
+        self.simulation = simulation
+        self.member = simulation.member(at)
         self.address = peer_address(at)
 
     def send(
         self, receiver: Membership, kind: MessageKind = MessageKind.ACK, name: str = "", **fields: object
     ) -> None:
-        self.node.counter += 1
+        self.member.counter += 1
         message = Message(
-            VERSION, kind, name or self.node.name, self.node.incarnation, self.node.counter,
-            token=self.node.peers[receiver.name].token, **fields,
+            VERSION, kind, name or self.member.name, self.member.incarnation, self.member.counter,
+            token=self.member.peers[receiver.name].token, **fields,
         )  # fmt: skip
-        self.talk.deliver(receiver.settings.advertise, self.talk.envelopes[self.address].seal(message))
+        self.simulation.deliver(
+            receiver.settings.advertise, self.simulation.codecs[self.address].seal(message)
+        )
 
 
 def test_a_malicious_member_can_not_declare_others_dead() -> None:
-    talk = converged_fleet()
-    malicious = MaliciousMember(talk, 7)
-    others = [talk.node(at) for at in range(7)]
+    simulation = converged_fleet()
+    malicious = MaliciousMember(simulation, 7)
+    others = [simulation.member(at) for at in range(7)]
     for _ in range(300):
-        for node in others:
+        for member in others:
             rumours = [
                 Rumour(status, peer.name, peer.incarnation + ahead)
                 for peer in others
-                if peer is not node
+                if peer is not member
                 for status, ahead in ((RumourStatus.SUSPECT, 0), (RumourStatus.DEAD, 1))
             ]
-            malicious.send(node, rumours=rumours)
-        talk.run(SECOND // 10)
-        assert not talk.count_falsely_gone()
-    assert any("b7 is ignored" in text for _, _, text in talk.logs)
-    check_limits(talk)
+            malicious.send(member, rumours=rumours)
+        simulation.run(SECOND // 10)
+        assert not simulation.count_falsely_gone()
+    assert any("b7 is ignored" in text for _, _, text in simulation.logs)
+    check_limits(simulation)
 
 
 def test_a_liveness_proof_can_not_be_forged() -> None:
-    talk = converged_fleet()
-    malicious = MaliciousMember(talk, 7)
-    observer, victim = talk.node(0), talk.node(3)
+    simulation = converged_fleet()
+    malicious = MaliciousMember(simulation, 7)
+    observer, victim = simulation.member(0), simulation.member(3)
     malicious.send(victim, rumours=[Rumour(RumourStatus.SUSPECT, "b3", victim.incarnation)])
-    talk.run(SECOND)
+    simulation.run(SECOND)
     old_proof = observer.latest_proof(victim.chain_key)
     assert victim.incarnation % PROCESS_SPAN == observer.peers["b3"].link_number == 1 and old_proof[
         CHAIN_KEY_BYTES + 1 :
     ] == victim.chain.link(1)
-    talk.kill(3)
-    assert talk.run_until(lambda: not talk.count_holders("b3"), 5 * SECOND) >= 0
-    logged_before = len(talk.logs)
+    simulation.kill(3)
+    assert simulation.run_until(lambda: not simulation.count_holders("b3"), 5 * SECOND) >= 0
+    logged_before = len(simulation.logs)
     for attempt in range(40):
-        for one in (talk.node(n) for n in (0, 1, 2, 4, 5, 6)):
+        for one in (simulation.member(n) for n in (0, 1, 2, 4, 5, 6)):
             malicious.send(
                 one,
                 liveness_proofs=old_proof + liveness_proof(victim.chain_key, 2 + attempt, bytes(LINK_BYTES)),
             )
-        talk.run(SECOND // 10)
-        assert not talk.count_holders("b3")
+        simulation.run(SECOND // 10)
+        assert not simulation.count_holders("b3")
     assert observer.dropped["no proof of life"] and any(
-        "b7 is ignored" in text for _, _, text in talk.logs[logged_before:]
+        "b7 is ignored" in text for _, _, text in simulation.logs[logged_before:]
     )
-    check_limits(talk)
+    check_limits(simulation)
 
 
 def test_a_relayed_liveness_proof_refutes_a_suspicion() -> None:
-    talk = converged_fleet()
-    talk.add_fault(0, 30 * SECOND, "b1", "b2", cut=True)
-    talk.add_fault(0, 30 * SECOND, "b2", "b1", cut=True)
-    observer = talk.node(1)
+    simulation = converged_fleet()
+    simulation.add_fault(0, 30 * SECOND, "b1", "b2", cut=True)
+    simulation.add_fault(0, 30 * SECOND, "b2", "b1", cut=True)
+    observer = simulation.member(1)
     for suspecter in (6, 7):
         incarnation = observer.peers["b2"].incarnation
-        MaliciousMember(talk, suspecter).send(
+        MaliciousMember(simulation, suspecter).send(
             observer, rumours=[Rumour(RumourStatus.SUSPECT, "b2", incarnation)]
         )
-    talk.run(3 * SECOND)
+    simulation.run(3 * SECOND)
     assert (
         not observer.peers["b2"].is_dead
-        and observer.peers["b2"].link_number == talk.node(2).incarnation % PROCESS_SPAN > 0
+        and observer.peers["b2"].link_number == simulation.member(2).incarnation % PROCESS_SPAN > 0
     )
 
 
 def test_a_used_up_hash_chain_starts_a_new_process(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(membership, "CHAIN_LENGTH", 2)
-    talk = converged_fleet()
-    first = talk.node(3).incarnation // PROCESS_SPAN
+    simulation = converged_fleet()
+    first = simulation.member(3).incarnation // PROCESS_SPAN
     for _ in range(4):
-        MaliciousMember(talk, 7).send(
-            talk.node(3), rumours=[Rumour(RumourStatus.DEAD, "b3", talk.node(3).incarnation)]
+        MaliciousMember(simulation, 7).send(
+            simulation.member(3), rumours=[Rumour(RumourStatus.DEAD, "b3", simulation.member(3).incarnation)]
         )
-        talk.run(2 * SECOND)
-    assert talk.node(3).incarnation // PROCESS_SPAN == first + 1
-    assert talk.run_until(talk.all_agree, 10 * SECOND) >= 0
+        simulation.run(2 * SECOND)
+    assert simulation.member(3).incarnation // PROCESS_SPAN == first + 1
+    assert simulation.run_until(simulation.all_agree, 10 * SECOND) >= 0
 
 
 @given(secret=st.binary(min_size=8, max_size=32), known=st.integers(0, 600), more=st.integers(0, 600))
@@ -258,36 +260,38 @@
 
 
 def test_counts_of_another_balancer_can_not_be_forged() -> None:
-    talk = converged_fleet()
-    malicious = MaliciousMember(talk, 7)
+    simulation = converged_fleet()
+    malicious = MaliciousMember(simulation, 7)
     for _ in range(50):
         for at in range(7):
-            node = talk.node(at)
+            member = simulation.member(at)
             before = {
                 name: (one.incarnation, one.counts)
-                for name, one in node.counts_table.received.items()
+                for name, one in member.counts_table.received.items()
                 if name != "b7"
             }
             for name in before:
                 forged = SessionCounts(10**9, [("full", 10**6)])
-                malicious.send(node, MessageKind.COUNTS, name=name, counts=forged)
-                malicious.send(node, MessageKind.COUNTS, name=name, counts=forged, address=malicious.address)
+                malicious.send(member, MessageKind.COUNTS, name=name, counts=forged)
+                malicious.send(
+                    member, MessageKind.COUNTS, name=name, counts=forged, address=malicious.address
+                )
             after = {
                 name: (one.incarnation, one.counts)
-                for name, one in node.counts_table.received.items()
+                for name, one in member.counts_table.received.items()
                 if name != "b7"
             }
             assert after == before
-        talk.run(SECOND // 10)
-    assert talk.all_agree()
+        simulation.run(SECOND // 10)
+    assert simulation.all_agree()
 
 
 def test_replayed_datagrams_and_outdated_counts_are_dropped() -> None:
-    talk = converged_fleet()
-    observer, sender = talk.node(0), talk.node(1)
+    simulation = converged_fleet()
+    observer, sender = simulation.member(0), simulation.member(1)
     outdated = SessionCounts(version=1, by_kind=[("full", 77)])
     sender.counter += 1
-    data = talk.envelopes[peer_address(1)].seal(
+    data = simulation.codecs[peer_address(1)].seal(
         Message(
             VERSION,
             MessageKind.COUNTS,
@@ -298,22 +302,22 @@
             counts=SessionCounts(10**6, [("full", 5)]),
         )  # fmt: skip
     )
-    talk.deliver(peer_address(0), data)
+    simulation.deliver(peer_address(0), data)
     assert observer.counts_table.received["b1"].counts.by_kind == [("full", 5)]
     heard_at = observer.peers["b1"].last_heard_at
-    talk.run(2)
+    simulation.run(2)
     repeated_before = observer.dropped["repeated"]
     for _ in range(5):
-        talk.deliver(peer_address(0), data)
+        simulation.deliver(peer_address(0), data)
     assert (
         observer.dropped["repeated"] == repeated_before + 5 and observer.peers["b1"].last_heard_at == heard_at
     )
-    assert not observer.counts_table.store(talk.now, "b1", sender.incarnation, outdated)
+    assert not observer.counts_table.store(simulation.now, "b1", sender.incarnation, outdated)
 
 
 def test_thousands_of_claimed_senders_take_bounded_memory() -> None:
-    talk = converged_fleet(peers_most=20)
-    node = talk.node(0)
+    simulation = converged_fleet(peers_most=20)
+    member = simulation.member(0)
     codec = DatagramCodec("lab", list(KEYS))
     for at in range(5_000):
         ping = Message(
@@ -325,43 +329,45 @@
             address=peer_address(1_000 + at),
             nonce=at + 1,
         )
-        talk.deliver(peer_address(0), codec.seal(ping))
+        simulation.deliver(peer_address(0), codec.seal(ping))
         if at % 50 == 0:
-            talk.run(SECOND // 50)
-    assert len(node.peers) == SIZE - 1 and len(node.candidates) <= membership.MAX_CANDIDATES
-    assert len(node.send_queue) <= membership.MAX_SEND_QUEUE
-    talk.run(10 * SECOND)
-    assert talk.all_agree()
-    check_limits(talk)
+            simulation.run(SECOND // 50)
+    assert len(member.peers) == SIZE - 1 and len(member.candidates) <= membership.MAX_CANDIDATES
+    assert len(member.send_queue) <= membership.MAX_SEND_QUEUE
+    simulation.run(10 * SECOND)
+    assert simulation.all_agree()
+    check_limits(simulation)
 
 
 def test_of_two_balancers_with_one_name_the_first_is_kept() -> None:
-    talk = converged_fleet()
-    second = talk.start("b2", peer_address(50))
-    talk.run(20 * SECOND)
+    simulation = converged_fleet()
+    second = simulation.start("b2", peer_address(50))
+    simulation.run(20 * SECOND)
     assert all(
-        node.peers["b2"].address == peer_address(2) for key, node in talk.nodes.items() if node.name != "b2"
+        member.peers["b2"].address == peer_address(2)
+        for key, member in simulation.members.items()
+        if member.name != "b2"
     )
-    said = [text for _, name, text in talk.logs]
-    assert any("two balancers use the name b2" in text for text in said)
+    texts = [text for _, name, text in simulation.logs]
+    assert any("two balancers use the name b2" in text for text in texts)
     assert any(
         name == "b2" and ("is taken by" in text or "also uses the name" in text)
-        for _, name, text in talk.logs
+        for _, name, text in simulation.logs
     )
     assert second.name == "b2"
-    check_limits(talk)
+    check_limits(simulation)
 
 
 def test_keys_are_rotated_at_run_time() -> None:
-    talk = converged_fleet()
+    simulation = converged_fleet()
     new = b"n" * 16
     for keys in ([KEYS[0], new], [new, KEYS[0]], [new]):
-        for key in talk.envelopes:
-            talk.envelopes[key].keys = keys
-            talk.run(SECOND // 2)
-    talk.run(30 * SECOND)
-    assert talk.all_agree() and not any("gone" in text for _, _, text in talk.logs)
-    assert not any(node.dropped["key"] for node in talk.nodes.values())
+        for key in simulation.codecs:
+            simulation.codecs[key].keys = keys
+            simulation.run(SECOND // 2)
+    simulation.run(30 * SECOND)
+    assert simulation.all_agree() and not any("gone" in text for _, _, text in simulation.logs)
+    assert not any(member.dropped["key"] for member in simulation.members.values())
 
 
 def test_a_newer_version_is_read_or_dropped_with_a_reason() -> None:
@@ -413,41 +419,43 @@
 @given(FAULT_STEPS, st.integers(0, 1000))
 @settings(max_examples=25, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 def test_versions_never_go_back_and_totals_agree_after_faults(steps: list, seed: int) -> None:
-    talk = MembershipSimulation(4, seed)
+    simulation = MembershipSimulation(4, seed)
     last: dict[tuple[str, str], tuple[int, int]] = {}
 
     def check_versions() -> None:
-        for key, node in talk.alive().items():
-            for name, one in node.counts_table.received.items():
+        for key, member in simulation.alive().items():
+            for name, one in member.counts_table.received.items():
                 held = (one.incarnation, one.counts.version)
-                assert last.get((key, id(node), name), (0, 0)) <= held
-                last[key, id(node), name] = held
+                assert last.get((key, id(member), name), (0, 0)) <= held
+                last[key, id(member), name] = held
 
     for what, one, other, span in steps:
         match what:
             case "cut":
-                talk.add_fault(0, span * SECOND // 4, f"b{one}", f"b{other}", cut=True)
+                simulation.add_fault(0, span * SECOND // 4, f"b{one}", f"b{other}", cut=True)
             case "lose" | "repeat":
-                talk.add_fault(0, span * SECOND // 4, "*", f"b{other}", **{what: 0.5}, spread=SECOND // 2)
+                simulation.add_fault(
+                    0, span * SECOND // 4, "*", f"b{other}", **{what: 0.5}, spread=SECOND // 2
+                )
             case "kill":
-                talk.kill(one)
-            case "start" if peer_address(one) in talk.killed:
-                talk.start(f"b{one}", peer_address(one))
+                simulation.kill(one)
+            case "start" if peer_address(one) in simulation.killed:
+                simulation.start(f"b{one}", peer_address(one))
             case "freeze":
-                talk.freeze(one, span * SECOND // 8)
-        talk.run(span * SECOND // 10)
+                simulation.freeze(one, span * SECOND // 8)
+        simulation.run(span * SECOND // 10)
         check_versions()
-    talk.run(20 * SECOND)
-    assert talk.run_until(talk.all_agree, 40 * SECOND) >= 0
-    for truth in talk.actual_sessions.values():
-        truth.update = lambda truth=truth: SessionCounts(1, [("full", truth.by_server.total())])
-    talk.run(15 * SECOND)
+    simulation.run(20 * SECOND)
+    assert simulation.run_until(simulation.all_agree, 40 * SECOND) >= 0
+    for sessions in simulation.actual_sessions.values():
+        sessions.update = lambda sessions=sessions: SessionCounts(1, [("full", sessions.by_server.total())])
+    simulation.run(15 * SECOND)
     check_versions()
-    alive = talk.alive()
-    total = sum(talk.actual_sessions[key].by_server.total() for key in alive)
-    for node in alive.values():
-        assert sum(node.fleet_totals(talk.now).by_kind.values()) == total
-    check_limits(talk)
+    alive = simulation.alive()
+    total = sum(simulation.actual_sessions[key].by_server.total() for key in alive)
+    for member in alive.values():
+        assert sum(member.fleet_totals(simulation.now).by_kind.values()) == total
+    check_limits(simulation)
 
 
 def with_replacement(function: Callable, old: str, new: str) -> Callable:
@@ -473,12 +481,12 @@
         test_replayed_datagrams_and_outdated_counts_are_dropped,
     ),
     "tokens are not checked": (
-        lambda patch: patch.setattr(Membership, "token_for", lambda node, address: b"x"),
+        lambda patch: patch.setattr(Membership, "token_for", lambda member, address: b"x"),
         test_counts_of_another_balancer_can_not_be_forged,
     ),
     "rumours count as failed probes": (
         lambda patch: patch.setattr(
-            Membership, "schedule_probe", lambda node, peer, spread=0: node.on_probe_failed(peer)
+            Membership, "schedule_probe", lambda member, peer, spread=0: member.on_probe_failed(peer)
         ),
         test_a_malicious_member_can_not_declare_others_dead,
     ),
@@ -495,11 +503,11 @@
         test_a_liveness_proof_can_not_be_forged,
     ),
     "liveness proofs are not relayed": (
-        lambda patch: patch.setattr(Membership, "apply_liveness_proofs", lambda node, proofs, relay: None),
+        lambda patch: patch.setattr(Membership, "apply_liveness_proofs", lambda member, proofs, relay: None),
         test_a_relayed_liveness_proof_refutes_a_suspicion,
     ),
     "failure detection is not paused after a stall": (
-        lambda patch: patch.setattr(Membership, "on_stall", lambda node, late_by: None),
+        lambda patch: patch.setattr(Membership, "on_stall", lambda member, late_by: None),
         test_stalled_balancers_declare_nobody_dead,
     ),
     "older counts are stored": (
@@ -524,33 +532,39 @@
 
 
 def test_the_largest_counts_fit_one_datagram_and_every_session_is_counted() -> None:
-    talk = converged_fleet(2)
-    node = talk.node(0)
+    simulation = converged_fleet(2)
+    member = simulation.member(0)
     many = [(1 << 31, 10**6 + at) for at in range(140)]
     kinds = [("k" * 64 + str(at), 10**9) for at in range(9)]
-    for peer in node.peers.values():
+    for peer in member.peers.values():
         peer.name = "n" * 64
-    node.counts_table.own = None
-    talk.handle(
+    member.counts_table.own = None
+    simulation.handle(
         peer_address(0),
-        node,
+        member,
         CountsUpdated(SessionCounts(1, kinds, list(many), dials=10**6, list_version=10**6)),
     )
-    own = node.counts_table.own
+    own = member.counts_table.own
     assert own.unlisted + sum(count for _, count in own.by_server) == sum(count for _, count in many)
-    node.name = "n" * 64
+    member.name = "n" * 64
     message = Message(
-        VERSION, MessageKind.COUNTS, node.name, NUMBER_LIMIT - 1, NUMBER_LIMIT - 1, token=bytes(8), counts=own
+        VERSION,
+        MessageKind.COUNTS,
+        member.name,
+        NUMBER_LIMIT - 1,
+        NUMBER_LIMIT - 1,
+        token=bytes(8),
+        counts=own,
     )
-    assert len(talk.envelopes[peer_address(0)].seal(message)) <= MAX_DATAGRAM_BYTES
+    assert len(simulation.codecs[peer_address(0)].seal(message)) <= MAX_DATAGRAM_BYTES
 
 
 def test_the_same_seed_gives_the_same_run() -> None:
     def run() -> list:
-        talk = MembershipSimulation(6, 5)
-        talk.add_fault(SECOND, 3 * SECOND, "b1", "*", lose=0.5, spread=50)
-        talk.run(6 * SECOND)
-        return [talk.logs, talk.sent]
+        simulation = MembershipSimulation(6, 5)
+        simulation.add_fault(SECOND, 3 * SECOND, "b1", "*", lose=0.5, spread=50)
+        simulation.run(6 * SECOND)
+        return [simulation.logs, simulation.sent]
 
     state = random.getstate()
     assert run() == run()
--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -121,9 +121,9 @@
         run = ScenarioRun(scenario, 7, False)
         start, events = run.testbed.start, []
 
-        def start_recorded(name: str, start=start, stage=run.testbed, events=events) -> None:  # noqa: ANN001
+        def start_recorded(name: str, start=start, testbed=run.testbed, events=events) -> None:  # noqa: ANN001
             start(name)
-            balancer = stage.services[name].balancer
+            balancer = testbed.services[name].balancer
             handle = balancer.handle
 
             def handle_recorded(now: int, event: object) -> list:
@@ -136,27 +136,27 @@
         run.testbed.start = start_recorded
         run.run()
         recordings.append((events, run.testbed.record.as_bytes()))
-        assert bool(run.testbed.carriers) is peers
+        assert bool(run.testbed.transports) is peers
     assert len(recordings[0][0]) > 2000
     assert recordings[0] == recordings[1]
 
 
 def test_reading_is_rate_limited_in_a_flood(folder: Path) -> None:
-    """A balancer on the virtual stage reads at most its limit of datagrams a second, plus a small margin."""
+    """A balancer in virtual time reads at most its limit of datagrams a second, plus a small margin."""
     from thymedeck.lab.scenario_run import deployment_settings
 
-    stage = VirtualTestbed(1, deployment_settings(1, ["m1"], ["a"]), {})
-    stage.start("b0")
-    stage.run(SECOND)
-    transport = stage.carriers["b0"]
-    sender = stage.stand_in_machine.datagram(("10.3.0.1", 9))
+    testbed = VirtualTestbed(1, deployment_settings(1, ["m1"], ["a"]), {})
+    testbed.start("b0")
+    testbed.run(SECOND)
+    transport = testbed.transports["b0"]
+    sender = testbed.stand_in_machine.datagram(("10.3.0.1", 9))
     reads = []
     recv = transport.sock.recv
-    transport.sock.recv = lambda size: (reads.append(stage.now()), recv(size))[1]
+    transport.sock.recv = lambda size: (reads.append(testbed.now()), recv(size))[1]
     for _ in range(100):
         for _ in range(200):
             sender.sendto(bytes(100), transport.sock.address)
-        stage.run(SECOND // 20)
-    assert transport.dropped["flood"] or any(e["event"] == "peers_dropped" for e in stage.log("b0"))
-    assert transport.membership.detection_paused_until > stage.loop.now()
+        testbed.run(SECOND // 20)
+    assert transport.dropped["flood"] or any(e["event"] == "peers_dropped" for e in testbed.log("b0"))
+    assert transport.membership.detection_paused_until > testbed.loop.now()
     assert max(sum(at - SECOND < one <= at for one in reads) for at in reads[::50]) <= 500 + 40
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -60,8 +60,8 @@
         assert testbed.run_until(
             lambda: all(testbed.live_peer_count(name) == 8 for name in names), 20 * SECOND
         )
-        assert testbed.run_until(lambda: len(fake_peer.peers.counts_table.received) == 8, 10 * SECOND)
-        honest_peers = list(fake_peer.peers.peers.values())
+        assert testbed.run_until(lambda: len(fake_peer.membership.counts_table.received) == 8, 10 * SECOND)
+        honest_peers = list(fake_peer.membership.peers.values())
         for round_number in range(60):
             for peer in honest_peers:
                 rumours = [
--- a/thymedeck/configuration/settings.py
+++ b/thymedeck/configuration/settings.py
@@ -22,7 +22,7 @@
 MIN_KEEPERS = 3
 
 
-class SettingsFile(msgspec.Struct, forbid_unknown_fields=True):
+class ConfigurationSettingsFile(msgspec.Struct, forbid_unknown_fields=True):
     """The file as it is written (deploy/configuration.toml)."""
 
     keepers: list[str]  # addresses of all keepers, in the same order on every machine
@@ -36,7 +36,7 @@
     refusers: int = 3
 
 
-class Settings(msgspec.Struct, frozen=True):
+class ConfigurationSettings(msgspec.Struct, frozen=True):
     """The parsed settings."""
 
     keepers: tuple[str, ...]
@@ -44,9 +44,9 @@
     parameters: Parameters
 
 
-def read_settings(path: str) -> Settings:
+def load_configuration_settings(path: str) -> ConfigurationSettings:
     """Raises SettingsFileError."""
-    file: SettingsFile = load_toml(path, SettingsFile)
+    file: ConfigurationSettingsFile = load_toml(path, ConfigurationSettingsFile)
 
     parse = partial(parse_entry, path, file)
     times = {
@@ -78,4 +78,4 @@
         ("give_up_after", parameters.in_force_within, "is less than in_force_within"),
     ):
         check_minimum(path, file, parameters, name, minimum, reason)
-    return Settings(keepers, Path(path).parent / file.saved, parameters)
+    return ConfigurationSettings(keepers, Path(path).parent / file.saved, parameters)
--- a/thymedeck/lab/checks.py
+++ b/thymedeck/lab/checks.py
@@ -93,17 +93,17 @@
     """No dial to a server once the grace period has passed since its balancer learned of its drain or end."""
     violations = []
     # By balancer and server: when the balancer was told.
-    told_at: dict[tuple[str, str], int] = {}
+    learned_at: dict[tuple[str, str], int] = {}
     for entry in entries:
         if entry["what"] == "list answer" and entry["status"] == 200:
             for server, state in entry["told"]:
                 key = (entry["balancer"], server)
                 if state == "SERVING":
-                    told_at.pop(key, None)
+                    learned_at.pop(key, None)
                 else:
-                    told_at.setdefault(key, entry["at"])
+                    learned_at.setdefault(key, entry["at"])
         elif entry["what"] == "server line":
-            at = told_at.get((entry["balancer"], entry["server"]))
+            at = learned_at.get((entry["balancer"], entry["server"]))
             if at is not None and entry["at"] > at + grace + slack:
                 delay = (entry["at"] - at) / 10
                 violations.append(
@@ -111,8 +111,8 @@
                 )
         elif entry["what"] in ("killed", "started"):
             # A restarted balancer begins with its old list.
-            for key in [key for key in told_at if key[0] == entry["balancer"]]:
-                del told_at[key]
+            for key in [key for key in learned_at if key[0] == entry["balancer"]]:
+                del learned_at[key]
     return violations
 
 
--- a/thymedeck/lab/cold.py
+++ b/thymedeck/lab/cold.py
@@ -88,7 +88,7 @@
     sessions of the window before fill the window. The second assumes that all balancers dial at once after a
     window without a dial, at a uniformly distributed time, and at every moment from then on.
     """
-    fleet = Fleet(case, seed)
+    fleet = WarmUpFleet(case, seed)
     window, length = DEPLOYMENT.overload_window, DEPLOYMENT.warm_after
     dense = simultaneous = 0.0
     for step in range(steps):
@@ -134,7 +134,7 @@
     return zip(sorted(times), chosen, strict=True)
 
 
-class Fleet:
+class WarmUpFleet:
     """All balancers of one warm-up, with the sessions that they hold."""
 
     def __init__(self, case: Case, seed: int) -> None:
@@ -259,7 +259,7 @@
 
 
 def run_warm_up(case: Case, seed: int) -> WarmUp:
-    return Fleet(case, seed).run()
+    return WarmUpFleet(case, seed).run()
 
 
 COLUMNS = (
--- a/thymedeck/lab/configuration_scenarios.py
+++ b/thymedeck/lab/configuration_scenarios.py
@@ -24,7 +24,7 @@
     cut_duration: int  # of a cut or a freeze
 
 
-class ScenarioRun:
+class ConfigurationScenarioRun:
     """A fleet that has applied its first version, and the measurements of one scenario on it.
 
     Measured is the time from `measured_since` until each node in `measured_nodes` has applied version
@@ -110,23 +110,23 @@
     return ValidationFailure("limits", "is invalid") if content.startswith(b"bad") else None
 
 
-def ordinary_change(run: ScenarioRun) -> None:
+def ordinary_change(run: ConfigurationScenarioRun) -> None:
     run.submit(1, b"second")
 
 
-def lossy_network(run: ScenarioRun) -> None:
+def lossy_network(run: ConfigurationScenarioRun) -> None:
     now = run.fleet.now
     run.fleet.faults.entries.append(Fault(now, FOREVER, lose=0.2, repeat=0.2, spread=SECOND // 5))
     run.submit(1, b"second")
 
 
-def keeper_killed(run: ScenarioRun) -> None:
+def keeper_killed(run: ConfigurationScenarioRun) -> None:
     """One keeper dies as another receives the change; its followers have to switch to another keeper."""
     run.fleet.kill(run.fleet.keepers[0])
     run.submit(1, b"second")
 
 
-def majority_lost(run: ScenarioRun) -> None:
+def majority_lost(run: ConfigurationScenarioRun) -> None:
     """Two of four keepers are no majority: the change fails. Measured from when the one cut off is back."""
     run.fleet.kill(run.fleet.keepers[0])
     run.cut(run.fleet.keepers[1])
@@ -138,14 +138,14 @@
     run.submit(2, b"second")
 
 
-def region_cut_off(run: ScenarioRun) -> None:
+def region_cut_off(run: ConfigurationScenarioRun) -> None:
     """Measures the balancers that are not cut off."""
     run.cut("*.1", "*.[!1]")
     run.submit(0, b"second")
     run.measured_nodes = [name for name in run.fleet.followers if not name.endswith(".1")]
 
 
-def region_healed(run: ScenarioRun) -> None:
+def region_healed(run: ConfigurationScenarioRun) -> None:
     """Measures the balancers that were cut off, from when they are reachable again."""
     run.cut("*.1", "*.[!1]")
     run.run_for(10 * SECOND)
@@ -155,7 +155,7 @@
     run.measured_nodes = [name for name in run.fleet.followers if name.endswith(".1")]
 
 
-def region_with_two_keepers(run: ScenarioRun) -> None:
+def region_with_two_keepers(run: ConfigurationScenarioRun) -> None:
     """Two keepers on either side: no majority anywhere until the network has healed."""
     run.cut("*.0", "*.[!0]")
     run.run_for(10 * SECOND)
@@ -167,7 +167,7 @@
     run.submit(1, b"second")
 
 
-def third_frozen(run: ScenarioRun) -> None:
+def third_frozen(run: ConfigurationScenarioRun) -> None:
     """Freezes a third of the balancers and one keeper; measured from when they wake."""
     fleet = run.fleet
     frozen = [fleet.keepers[2], *fleet.followers[::3]]
@@ -182,13 +182,13 @@
     run.measured_nodes = frozen[1:]
 
 
-def invalid_change(run: ScenarioRun) -> None:
+def invalid_change(run: ConfigurationScenarioRun) -> None:
     """Keepers accept it, followers refuse it: measured until the withdrawal, a new version, is applied."""
     run.submit(1, b"bad")
     run.expected_number = 3
 
 
-SCENARIOS: dict[str, Callable[[ScenarioRun], None]] = {
+SCENARIOS: dict[str, Callable[[ConfigurationScenarioRun], None]] = {
     "an ordinary change": ordinary_change,
     "20 % lost, 20 % repeated, up to 0.2 s late": lossy_network,
     "a keeper killed at the change": keeper_killed,
@@ -205,6 +205,6 @@
     """Prints a row per scenario as it ends. Raises RuntimeError if a version forked or was never applied."""
     for title, scenario in SCENARIOS.items():
         if title_part in title:
-            run = ScenarioRun(options, seed)
+            run = ConfigurationScenarioRun(options, seed)
             scenario(run)
             print("| " + " | ".join([title, *run.measure()]) + " |", flush=True)
--- a/thymedeck/lab/membership_simulation.py
+++ b/thymedeck/lab/membership_simulation.py
@@ -84,8 +84,8 @@
         self.servers = servers
         self.overrides = overrides
         self.join = tuple(peer_address(index) for index in range(min(JOIN_ADDRESSES, balancers)))
-        self.nodes: dict[str, Membership] = {}
-        self.envelopes: dict[str, DatagramCodec] = {}
+        self.members: dict[str, Membership] = {}
+        self.codecs: dict[str, DatagramCodec] = {}
         self.actual_sessions: dict[str, ActualSessions] = {}
         self.key_by_address: dict[str, str] = {}
         self.killed: set[str] = set()
@@ -100,38 +100,38 @@
         """Starts a peer, or restarts it under the same name."""
         settings = peer_settings(0, self.join, **(self.overrides | {"advertise": address}))
         unix = unix_ms or START_UNIX_MS + (self.now - START_TIME) // 10
-        node = Membership(settings, name, self.rng.getrandbits(60), self.now, unix, self.size)
+        member = Membership(settings, name, self.rng.getrandbits(60), self.now, unix, self.size)
         key = address
-        self.nodes[key] = node
-        self.envelopes[key] = DatagramCodec("lab", list(KEYS))
+        self.members[key] = member
+        self.codecs[key] = DatagramCodec("lab", list(KEYS))
         self.actual_sessions[key] = ActualSessions(random.Random(self.rng.getrandbits(60)), self.servers)
         self.key_by_address[address] = key
         self.killed.discard(key)
         self.sent.setdefault(key, [])
-        self.schedule(self.rng.randrange(TICK), lambda: self.tick(key, node))
-        self.schedule(self.rng.randrange(SECOND), lambda: self.update_counts(key, node))
-        return node
+        self.schedule(self.rng.randrange(TICK), lambda: self.tick(key, member))
+        self.schedule(self.rng.randrange(SECOND), lambda: self.update_counts(key, member))
+        return member
 
     def introduce_all(self) -> None:
         """Makes all peers know each other, for fleets that would take too long to meet by themselves."""
-        for address, node in self.nodes.items():
-            for other in self.nodes.values():
-                if other is not node:
+        for address, member in self.members.items():
+            for other in self.members.values():
+                if other is not member:
                     peer = Peer(other.name, other.settings.advertise, other.incarnation, self.now)
                     peer.token, peer.chain_link = other.token_for(address), other.chain.link(0)
-                    node.peers[peer.name] = node.by_chain_key[peer.chain_key] = peer
-                    node.counts_queue.append(peer)
-            self.rng.shuffle(node.counts_queue)
+                    member.peers[peer.name] = member.by_chain_key[peer.chain_key] = peer
+                    member.counts_queue.append(peer)
+            self.rng.shuffle(member.counts_queue)
 
     def schedule(self, delay: int, callback: Callable[[], None]) -> None:
         self.event_count += 1
         heapq.heappush(self.heap, (self.now + delay, self.event_count, callback))
 
-    def node(self, index: int) -> Membership:
-        return self.nodes[peer_address(index)]
+    def member(self, index: int) -> Membership:
+        return self.members[peer_address(index)]
 
     def alive(self) -> dict[str, Membership]:
-        return {key: node for key, node in self.nodes.items() if key not in self.killed}
+        return {key: member for key, member in self.members.items() if key not in self.killed}
 
     def kill(self, index: int) -> None:
         self.killed.add(peer_address(index))
@@ -146,39 +146,39 @@
 
     # Events
 
-    def tick(self, key: str, node: Membership) -> None:
-        if self.nodes[key] is node and key not in self.killed:
-            self.handle(key, node, Tick())
-            self.schedule(TICK + self.rng.randrange(MAX_TICK_DELAY), lambda: self.tick(key, node))
+    def tick(self, key: str, member: Membership) -> None:
+        if self.members[key] is member and key not in self.killed:
+            self.handle(key, member, Tick())
+            self.schedule(TICK + self.rng.randrange(MAX_TICK_DELAY), lambda: self.tick(key, member))
 
-    def update_counts(self, key: str, node: Membership) -> None:
-        if self.nodes[key] is node and key not in self.killed:
-            self.handle(key, node, CountsUpdated(self.actual_sessions[key].update()))
-            self.schedule(SECOND, lambda: self.update_counts(key, node))
+    def update_counts(self, key: str, member: Membership) -> None:
+        if self.members[key] is member and key not in self.killed:
+            self.handle(key, member, CountsUpdated(self.actual_sessions[key].update()))
+            self.schedule(SECOND, lambda: self.update_counts(key, member))
 
-    def handle(self, key: str, node: Membership, event: Event) -> None:
+    def handle(self, key: str, member: Membership, event: Event) -> None:
         """Passes an event to a peer and carries out its actions; a frozen peer gets it when it wakes."""
         if self.frozen_until.get(key, 0) > self.now:
-            self.schedule(self.frozen_until[key] - self.now, lambda: self.handle(key, node, event))
+            self.schedule(self.frozen_until[key] - self.now, lambda: self.handle(key, member, event))
             return
         begin = time.process_time()
-        actions = node.handle(self.now, event)
+        actions = member.handle(self.now, event)
         datagrams = [
-            (action.address, self.envelopes[key].seal(action.message))
+            (action.address, self.codecs[key].seal(action.message))
             for action in actions
             if isinstance(action, Send)
         ]
         self.cpu_seconds += time.process_time() - begin
-        self.logs += [(self.now, node.name, action.text) for action in actions if isinstance(action, Log)]
+        self.logs += [(self.now, member.name, action.text) for action in actions if isinstance(action, Log)]
         for address, data in datagrams:
             self.sent[key].append((self.now, len(data)))
-            self.send(node.name, address, data)
+            self.send(member.name, address, data)
 
     def send(self, source: str, address: str, data: bytes) -> None:
         key = self.key_by_address.get(address)
         if key is None:
             return
-        for delay, copy in self.faults.deliveries(self.now, source, self.nodes[key].name, data):
+        for delay, copy in self.faults.deliveries(self.now, source, self.members[key].name, data):
             self.schedule(
                 delay + self.rng.randrange(*NETWORK_DELAY), lambda copy=copy: self.deliver(key, copy)
             )
@@ -186,20 +186,20 @@
     def deliver(self, key: str, data: bytes) -> None:
         if key in self.killed:
             return
-        node = self.nodes[key]
+        member = self.members[key]
         begin = time.process_time()
         try:
-            message = self.envelopes[key].open(data)
+            message = self.codecs[key].open(data)
         except DatagramError as error:
-            node.count_dropped(str(error))
+            member.count_dropped(str(error))
             return
         finally:
             self.cpu_seconds += time.process_time() - begin
-        self.handle(key, node, MessageReceived(message, len(data)))
+        self.handle(key, member, MessageReceived(message, len(data)))
 
     def leave(self, index: int) -> None:
         key = peer_address(index)
-        self.handle(key, self.nodes[key], ShutdownStarted())
+        self.handle(key, self.members[key], ShutdownStarted())
 
     def run(self, duration: int) -> None:
         end = self.now + duration
@@ -222,27 +222,27 @@
     def all_agree(self) -> bool:
         """Whether each running peer considers exactly the running peers to be alive."""
         alive = self.alive()
-        names = {node.name for node in alive.values()}
+        names = {member.name for member in alive.values()}
         return all(
-            {peer.name for peer in node.peers.values() if not peer.is_dead} == names - {node.name}
-            for node in alive.values()
+            {peer.name for peer in member.peers.values() if not peer.is_dead} == names - {member.name}
+            for member in alive.values()
         )
 
     def count_holders(self, name: str) -> int:
         """How many of the other running peers consider this one to be alive."""
         return sum(
-            name in node.peers and not node.peers[name].is_dead
-            for node in self.alive().values()
-            if node.name != name
+            name in member.peers and not member.peers[name].is_dead
+            for member in self.alive().values()
+            if member.name != name
         )
 
     def count_falsely_gone(self) -> int:
         """How many pairs there are in which a running peer considers another running peer to be gone."""
-        running = {node.name for node in self.alive().values()}
+        running = {member.name for member in self.alive().values()}
         return sum(
             peer.is_dead and peer.name in running
-            for node in self.alive().values()
-            for peer in node.peers.values()
+            for member in self.alive().values()
+            for peer in member.peers.values()
         )
 
     def peak_bytes_per_second(self) -> int:
@@ -254,8 +254,8 @@
         alive = self.alive()
         actual = sum(self.actual_sessions[key].by_server.total() for key in alive)
         return [
-            abs(sum(node.fleet_totals(self.now).by_kind.values()) - actual) / max(actual, 1)
-            for node in alive.values()
+            abs(sum(member.fleet_totals(self.now).by_kind.values()) - actual) / max(actual, 1)
+            for member in alive.values()
         ]
 
 
@@ -343,7 +343,7 @@
             ]
             balancer_seconds = balancers * (simulation.now - begin) / SECOND
             sum_error = statistics.median(simulation.sum_errors())
-            sums = [node.fleet_totals(simulation.now) for node in simulation.alive().values()]
+            sums = [member.fleet_totals(simulation.now) for member in simulation.alive().values()]
     simulation.run(60 * SECOND)
     victim = balancers // 2
     simulation.kill(victim)
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -48,8 +48,8 @@
         return taken
 
 
-class CountingEnvelope(DatagramCodec):
-    """An envelope that adds each message it closes to a tally."""
+class CountingCodec(DatagramCodec):
+    """A codec that adds each message it encodes to a tally."""
 
     def __init__(self, tally: MessageTally) -> None:
         super().__init__("lab", list(KEYS))
@@ -77,11 +77,11 @@
         super().__init__(balancers, seed, **overrides)
 
     def start(self, name: str, address: str, unix_ms: int = 0) -> Membership:
-        node = super().start(name, address, unix_ms)
-        self.envelopes[address] = CountingEnvelope(self.tally)
+        member = super().start(name, address, unix_ms)
+        self.codecs[address] = CountingCodec(self.tally)
         if self.is_idle:
             self.actual_sessions[address] = NoSessions(self.rng, 1)
-        return node
+        return member
 
     def take_peak_bytes(self) -> int:
         """Most bytes that any peer sent in one second since the last call."""
@@ -126,7 +126,7 @@
     simulation.run(quiet * SECOND)
     cpu = simulation.cpu_seconds - cpu
     tally = simulation.tally.take()
-    sums = [node.fleet_totals(simulation.now) for node in simulation.alive().values()]
+    sums = [member.fleet_totals(simulation.now) for member in simulation.alive().values()]
     ages = sorted(total.oldest_age / SECOND for total in sums)
     peak_bytes = simulation.take_peak_bytes()
     simulation.kill(balancers // 2)
@@ -169,7 +169,7 @@
 
 def time_until_agreed(simulation: MembershipSimulation, timeout: int) -> int:
     """Time until all agree, -1 on timeout; in whole seconds for large fleets, as each check is slow."""
-    if len(simulation.nodes) <= LARGE_FLEET:
+    if len(simulation.members) <= LARGE_FLEET:
         return simulation.run_until(simulation.all_agree, timeout)
     begin = simulation.now
     while not simulation.all_agree():
@@ -220,29 +220,29 @@
     """While active, drops all datagrams between one group of peers and the others."""
 
     def __init__(self, simulation: MembershipSimulation, group: set[str]) -> None:
-        self.original_fates, simulation.faults.deliveries = simulation.faults.deliveries, self.fates
+        self.original_deliveries, simulation.faults.deliveries = simulation.faults.deliveries, self.deliveries
         self.group = group
         self.is_active = True
 
-    def fates(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
+    def deliveries(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
         if self.is_active and (source in self.group) != (target in self.group):
             return []
-        return self.original_fates(now, source, target, data)
+        return self.original_deliveries(now, source, target, data)
 
 
 def count_pairs_across(simulation: MembershipSimulation, cut_off: set[str]) -> int:
     """Pairs across the cut of which one still considers the other to be alive."""
     return sum(
-        (peer.name in cut_off) != (node.name in cut_off) and not peer.is_dead
-        for node in simulation.alive().values()
-        for peer in node.peers.values()
+        (peer.name in cut_off) != (member.name in cut_off) and not peer.is_dead
+        for member in simulation.alive().values()
+        for peer in member.peers.values()
     )
 
 
 def count_missing_pairs(simulation: MembershipSimulation) -> int:
     """Pairs of running peers of which one does not consider the other to be alive."""
     alive = simulation.alive().values()
-    return sum(len(alive) - 1 - sum(not peer.is_dead for peer in node.peers.values()) for node in alive)
+    return sum(len(alive) - 1 - sum(not peer.is_dead for peer in member.peers.values()) for member in alive)
 
 
 # Simulated peers against real daemons
@@ -251,17 +251,17 @@
 class TrafficMonitor:
     """Counts the datagrams of real daemons as they reach the relays, before faults apply."""
 
-    def __init__(self, stage: ProcessTestbed) -> None:
+    def __init__(self, testbed: ProcessTestbed) -> None:
         self.tally = MessageTally()
-        self.envelope = DatagramCodec("lab", [bytes.fromhex(SHARED_KEY)])
-        self.original_fates, stage.faults.deliveries = stage.faults.deliveries, self.fates
+        self.codec = DatagramCodec("lab", [bytes.fromhex(SHARED_KEY)])
+        self.original_deliveries, testbed.faults.deliveries = testbed.faults.deliveries, self.deliveries
 
-    def fates(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
+    def deliveries(self, now: int, source: str, target: str, data: bytes) -> list[tuple[int, bytes]]:
         try:
-            self.tally.add(self.envelope.open(data), len(data))
+            self.tally.add(self.codec.open(data), len(data))
         except DatagramError:
             self.tally.count["unusable"] += 1
-        return self.original_fates(now, source, target, data)
+        return self.original_deliveries(now, source, target, data)
 
 
 def compare_with_daemons(balancers: int, kind: str, seed: int, quiet: int) -> dict:
@@ -269,26 +269,26 @@
     if kind == "hollow":
         return run_in_subprocess(measure_simulated_in_process, balancers=balancers, seed=seed, quiet=quiet)
     deployment = deployment_settings(balancers, ["m1"], ["a"])
-    with ProcessTestbed(seed, deployment, {}) as stage:
-        names = stage.start_fleet(balancers)
-        stage.run_until(
-            lambda: all(stage.live_peer_count(name) == balancers - 1 for name in stage.alive),
+    with ProcessTestbed(seed, deployment, {}) as testbed:
+        names = testbed.start_fleet(balancers)
+        testbed.run_until(
+            lambda: all(testbed.live_peer_count(name) == balancers - 1 for name in testbed.alive),
             CONVERGENCE_TIMEOUT,
         )
-        stage.run(30 * SECOND)
-        monitor = TrafficMonitor(stage)
-        core = mean_core_usage(stage, names, quiet)
+        testbed.run(30 * SECOND)
+        monitor = TrafficMonitor(testbed)
+        core = mean_core_usage(testbed, names, quiet)
         tally = monitor.tally
-    with ProcessTestbed(seed, deployment, None) as stage:
-        core -= mean_core_usage(stage, stage.start_fleet(balancers), quiet)
+    with ProcessTestbed(seed, deployment, None) as testbed:
+        core -= mean_core_usage(testbed, testbed.start_fleet(balancers), quiet)
     return format_row(tally, balancers, quiet, core)
 
 
-def mean_core_usage(stage: ProcessTestbed, names: list[str], quiet: int) -> float:
+def mean_core_usage(testbed: ProcessTestbed, names: list[str], quiet: int) -> float:
     """Mean fraction of a core that each daemon uses over `quiet` seconds."""
-    before = sum(cpu_seconds(stage.processes[name].pid) for name in names)
-    stage.run(quiet * SECOND)
-    after = sum(cpu_seconds(stage.processes[name].pid) for name in names)
+    before = sum(cpu_seconds(testbed.processes[name].pid) for name in names)
+    testbed.run(quiet * SECOND)
+    after = sum(cpu_seconds(testbed.processes[name].pid) for name in names)
     return (after - before) / len(names) / quiet
 
 
--- a/thymedeck/lab/scale/endpoints.py
+++ b/thymedeck/lab/scale/endpoints.py
@@ -1,7 +1,7 @@
 """Stand-in servers, clients and list service of a sweep, thousands of sockets in one process each, on epoll.
 
 They only send and count lines: their own cost is not measured, and must not be the bottleneck. Each runs as a
-worker process; the orders it gets through the pipe are names of its methods with their arguments.
+worker process; a command that it gets through the pipe is the name of one of its methods with arguments.
 """
 
 import errno
@@ -22,7 +22,7 @@
 
 
 class EpollWorker:
-    """An epoll loop that also serves the orders from the pipe."""
+    """An epoll loop that also carries out the commands from the pipe."""
 
     def __init__(self, pipe: Connection) -> None:
         self.pipe = pipe
@@ -35,10 +35,10 @@
         while True:
             while self.pipe.poll():
                 try:
-                    order, *arguments = self.pipe.recv()
+                    command, *arguments = self.pipe.recv()
                 except EOFError:
                     return
-                self.pipe.send(getattr(self, order)(*arguments))
+                self.pipe.send(getattr(self, command)(*arguments))
             self.poll(1.0)
 
     def poll(self, timeout: float) -> None:
@@ -92,7 +92,7 @@
         return True
 
 
-class Servers(EpollWorker):
+class ServersWorker(EpollWorker):
     """Servers that accept every session and send back every line."""
 
     def __init__(self, pipe: Connection) -> None:
@@ -154,8 +154,8 @@
         return fd in self.sockets and self.write(fd, head.ljust(size - 2, b"x") + b"\r\n")
 
 
-class Clients(EpollWorker):
-    """Clients of one balancer."""
+class ClientsWorker(EpollWorker):
+    """The clients of one balancer."""
 
     def __init__(self, pipe: Connection, port: int) -> None:
         super().__init__(pipe)
@@ -274,14 +274,14 @@
 
 
 def run_servers(pipe: Connection) -> None:
-    Servers(pipe).run()
+    ServersWorker(pipe).run()
 
 
 def run_clients(pipe: Connection, port: int) -> None:
-    Clients(pipe, port).run()
+    ClientsWorker(pipe, port).run()
 
 
-class ListService(EpollWorker):
+class ListServiceWorker(EpollWorker):
     """A list service for one daemon: sends the whole list, or holds a watch until servers change."""
 
     def __init__(self, pipe: Connection, entries: int) -> None:
@@ -344,4 +344,4 @@
 
 
 def run_list_service(pipe: Connection, entries: int) -> None:
-    ListService(pipe, entries).run()
+    ListServiceWorker(pipe, entries).run()
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -1,7 +1,7 @@
 """A few real daemons among simulated peers on loopback: the cost of peers with real sockets.
 
-The simulated peers run the real decisions, envelopes and datagrams on one event loop in this process, with a
-few sessions each and without the rest of a balancer. They know each other at the start; the daemons have to
+The simulated peers run the real decisions and encode real datagrams on one event loop in this process. Each
+has a few sessions and lacks the rest of a balancer. They know each other at the start; the daemons have to
 meet all of them.
 """
 
@@ -38,8 +38,8 @@
         self.address = "{}:{}".format(*self.sock.getsockname())
         settings = peer_settings(0, advertise=self.address)
         unix_ms = loop.system.time_ns() // 1_000_000
-        self.peers = Membership(settings, name, rng.getrandbits(60), loop.now(), unix_ms, fleet_size)
-        self.envelope = DatagramCodec("lab", [bytes.fromhex(SHARED_KEY)])
+        self.membership = Membership(settings, name, rng.getrandbits(60), loop.now(), unix_ms, fleet_size)
+        self.codec = DatagramCodec("lab", [bytes.fromhex(SHARED_KEY)])
         self.sessions = ActualSessions(random.Random(rng.getrandbits(60)), SERVERS)
         self.tally = MessageTally()  # of messages from the real daemons
         self.daemon_names: frozenset[str] = frozenset()
@@ -49,17 +49,17 @@
 
     def tick(self) -> None:
         self.loop.after(TICK, self.tick)
-        self.carry_out(self.peers.handle(self.loop.now(), Tick()))
+        self.carry_out(self.membership.handle(self.loop.now(), Tick()))
 
     def update_counts(self) -> None:
         self.loop.after(SECOND, self.update_counts)
-        self.carry_out(self.peers.handle(self.loop.now(), CountsUpdated(self.sessions.update())))
+        self.carry_out(self.membership.handle(self.loop.now(), CountsUpdated(self.sessions.update())))
 
     def carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 with contextlib.suppress(OSError):
-                    self.sock.sendto(self.envelope.seal(action.message), server_address(action.address))
+                    self.sock.sendto(self.codec.seal(action.message), server_address(action.address))
 
     def ready(self, mask: int) -> None:
         while True:
@@ -68,24 +68,27 @@
             except (BlockingIOError, ConnectionError):
                 return
             with contextlib.suppress(DatagramError):
-                message = self.envelope.open(data)
+                message = self.codec.open(data)
                 if message.name in self.daemon_names:
                     self.tally.add(message, len(data))
-                self.carry_out(self.peers.handle(self.loop.now(), MessageReceived(message, len(data))))
+                self.carry_out(self.membership.handle(self.loop.now(), MessageReceived(message, len(data))))
 
 
 def introduce_all(simulated: list[SimulatedPeer], rng: random.Random, now: int) -> None:
     """Makes the simulated peers know each other."""
     for member in simulated:
-        node = member.peers
+        membership = member.membership
         for other in simulated:
             if other is not member:
-                other_node = other.peers
-                peer = Peer(other_node.name, other.address, other_node.incarnation, now)
-                peer.token, peer.chain_link = other_node.token_for(member.address), other_node.chain.link(0)
-                node.peers[peer.name] = node.by_chain_key[peer.chain_key] = peer
-                node.counts_queue.append(peer)
-        rng.shuffle(node.counts_queue)
+                other_membership = other.membership
+                peer = Peer(other_membership.name, other.address, other_membership.incarnation, now)
+                peer.token, peer.chain_link = (
+                    other_membership.token_for(member.address),
+                    other_membership.chain.link(0),
+                )
+                membership.peers[peer.name] = membership.by_chain_key[peer.chain_key] = peer
+                membership.counts_queue.append(peer)
+        rng.shuffle(membership.counts_queue)
 
 
 def measure_mixed_fleet(balancers: int, real: int, seed: int) -> dict:
--- a/thymedeck/lab/scale/process.py
+++ b/thymedeck/lab/scale/process.py
@@ -1,4 +1,4 @@
-"""Processes of a sweep: kernel counters of a process, and worker processes that carry out orders."""
+"""Processes of a sweep: kernel counters of a process, and worker processes that carry out commands."""
 
 import multiprocessing
 import os
@@ -9,7 +9,7 @@
 from types import TracebackType
 from typing import Any
 
-ORDER_TIMEOUT = 900.0  # seconds that a worker may take for an order
+COMMAND_TIMEOUT = 900.0  # seconds that a worker may take for a command
 
 
 def cpu_seconds(pid: int) -> float:
@@ -34,7 +34,7 @@
 
 
 class Worker:
-    """A process that runs `main(pipe, *arguments)`; it receives orders as tuples and answers each."""
+    """A process that runs `main(pipe, *arguments)`; it receives commands as tuples and answers each."""
 
     def __init__(self, main: Callable[..., None], *arguments: object) -> None:
         context = multiprocessing.get_context("spawn")
@@ -43,20 +43,20 @@
         self.process.start()
         worker_pipe.close()
 
-    def tell(self, *order: object) -> None:
-        """Sends an order; its answer has to be taken with `answer`."""
-        self.pipe.send(order)
+    def send_command(self, *command: object) -> None:
+        """Sends a command; its answer has to be taken with `receive_answer`."""
+        self.pipe.send(command)
 
-    def answer(self) -> Any:  # noqa: ANN401 (the type depends on the order)
+    def receive_answer(self) -> Any:  # noqa: ANN401 (the type depends on the command)
         """Raises EOFError if the worker has ended, TimeoutError if it does not answer in time."""
-        if not self.pipe.poll(ORDER_TIMEOUT):
+        if not self.pipe.poll(COMMAND_TIMEOUT):
             raise TimeoutError("the worker process does not answer")
         return self.pipe.recv()
 
-    def ask(self, *order: object) -> Any:  # noqa: ANN401
-        """Sends an order and returns its answer."""
-        self.tell(*order)
-        return self.answer()
+    def call(self, *command: object) -> Any:  # noqa: ANN401
+        """Sends a command and returns its answer."""
+        self.send_command(*command)
+        return self.receive_answer()
 
     def close(self) -> None:
         self.process.kill()
@@ -75,7 +75,7 @@
 def run_in_subprocess(measure: Callable[..., dict], **arguments: object) -> dict:
     """Runs a measurement in a new process, so that its memory is not mixed with that of earlier ones."""
     with Worker(run_measurement, measure, arguments) as worker:
-        result = worker.answer()
+        result = worker.receive_answer()
     if isinstance(result, BaseException):
         raise result
     return result
--- a/thymedeck/lab/scale/server_list.py
+++ b/thymedeck/lab/scale/server_list.py
@@ -30,7 +30,7 @@
 def measure_list(entries: int, repeat: int, settle_seconds: float = SETTLE_SECONDS) -> dict:
     """A list of so many entries, then changes of one entry each, then the whole list again."""
     with Worker(run_list_service, entries) as service:
-        port = service.ask("open")
+        port = service.call("open")
         with Daemon([], f"127.0.0.1:{port}") as daemon:
             memory_before, fds, cpu_before, begin = (
                 daemon.resident_bytes(),
@@ -40,34 +40,34 @@
             )
             taken_seconds = wait_until_listed(daemon, entries)
             time.sleep(settle_seconds)
-            whole, memory, span = (
+            whole_cpu, memory, span = (
                 daemon.cpu_seconds() - cpu_before,
                 daemon.resident_bytes() - memory_before,
                 time.monotonic() - begin,
             )
-            whole_bytes = service.ask("count")[1]
-            idle = daemon.core_usage(2 * settle_seconds)
-            whole -= idle * (span - taken_seconds)
+            whole_bytes = service.call("count")[1]
+            idle_usage = daemon.core_usage(2 * settle_seconds)
+            whole_cpu -= idle_usage * (span - taken_seconds)
             cpu_before, begin = daemon.cpu_seconds(), time.monotonic()
             for index in range(CHANGES):
-                change_bytes = service.ask("change", 1, "SERVING" if index % 2 else "DRAINING")
+                change_bytes = service.call("change", 1, "SERVING" if index % 2 else "DRAINING")
             time.sleep(settle_seconds)
-            change = daemon.cpu_seconds() - cpu_before - idle * (time.monotonic() - begin)
+            change_cpu = daemon.cpu_seconds() - cpu_before - idle_usage * (time.monotonic() - begin)
             cpu_before, begin = daemon.cpu_seconds(), time.monotonic()
-            service.ask("change", 0, "")
+            service.call("change", 0, "")
             time.sleep(settle_seconds)
-            again = daemon.cpu_seconds() - cpu_before - idle * (time.monotonic() - begin)
-            service.tell("change", 0, "")
-            longest = daemon.longest_ping(settle_seconds)
-            service.answer()
+            again_cpu = daemon.cpu_seconds() - cpu_before - idle_usage * (time.monotonic() - begin)
+            service.send_command("change", 0, "")
+            longest_ping = daemon.longest_ping(settle_seconds)
+            service.receive_answer()
             memory_again = daemon.resident_bytes() - memory_before
             fds = daemon.open_descriptors() - fds
     return {
-        "whole_bytes": whole_bytes, "whole_ms": milliseconds(whole), "taken_in_s": f"{taken_seconds:.2f}",
+        "whole_bytes": whole_bytes, "whole_ms": milliseconds(whole_cpu), "taken_in_s": f"{taken_seconds:.2f}",
         "memory": memory, "memory_again": memory_again,
-        "change_bytes": change_bytes, "change_ms": milliseconds(change / CHANGES),
-        "again_ms": milliseconds(again), "stood_still_ms": milliseconds(longest),
-        "core_at_rest": f"{idle:.5f}", "fds": fds,
+        "change_bytes": change_bytes, "change_ms": milliseconds(change_cpu / CHANGES),
+        "again_ms": milliseconds(again_cpu), "stood_still_ms": milliseconds(longest_ping),
+        "core_at_rest": f"{idle_usage:.5f}", "fds": fds,
     }  # fmt: skip
 
 
@@ -105,8 +105,8 @@
 
 
 def measure_choice_in_process(servers: int, repeat: int) -> dict:
-    site = deployment_from(msgspec.convert(deployment_settings(1, ["m1"], ["a"]), Settings))
-    balancer = Balancer(repeat, site)
+    deployment = deployment_from(msgspec.convert(deployment_settings(1, ["m1"], ["a"]), Settings))
+    balancer = Balancer(repeat, deployment)
     memory_before, now = resident_bytes(os.getpid()), 1_000_000
     begin = time.process_time()
     entries = [
--- a/thymedeck/lab/scale/sessions.py
+++ b/thymedeck/lab/scale/sessions.py
@@ -32,7 +32,7 @@
 def daemon_with_load(listed: int = SERVERS) -> Iterator[tuple[Daemon, Worker, Worker]]:
     """A daemon, its servers and its clients; if more than SERVERS are listed, several share an address."""
     with Worker(run_servers) as servers:
-        ports = servers.ask("open", SERVERS)
+        ports = servers.call("open", SERVERS)
         with (
             Daemon([server_entry(f"s{index}", ports[index % SERVERS]) for index in range(listed)]) as daemon,
             Worker(run_clients, daemon.port) as clients,
@@ -45,7 +45,7 @@
     before = daemon.cpu_seconds()
     answers = Counter()
     for _ in range(MAX_ATTEMPTS):
-        attempt = Counter(clients.ask("open", count - answers["UP"], OPEN_RATE))
+        attempt = Counter(clients.call("open", count - answers["UP"], OPEN_RATE))
         median, _ = attempt.pop("median"), attempt.pop("took")
         answers += attempt
         if answers["UP"] == count:
@@ -59,41 +59,42 @@
     `idle_seconds`: how long each state is measured.
     """
     with daemon_with_load() as (daemon, servers, clients):
-        bare, bare_fds, empty = (
+        bare_memory, bare_fds, empty_usage = (
             daemon.resident_bytes(),
             daemon.open_descriptors(),
             daemon.core_usage(idle_seconds),
         )
         opened = open_sessions(daemon, clients, sessions)
-        new = daemon.resident_bytes()
+        new_memory = daemon.resident_bytes()
         fds = daemon.open_descriptors()
-        silent = daemon.core_usage(idle_seconds)
+        silent_usage = daemon.core_usage(idle_seconds)
         before, begin = daemon.cpu_seconds(), time.monotonic()
-        lines_sent, lines_back = clients.ask("send_lines", idle_seconds)
-        lines_cpu = daemon.cpu_seconds() - before - silent * (time.monotonic() - begin)
-        used = daemon.resident_bytes()
-        deliveries = cost_of_deliveries(daemon, servers, clients, silent, idle_seconds)
-        fan_out = cost_of_fan_out(daemon, servers, clients, silent)
+        lines_sent, lines_back = clients.call("send_lines", idle_seconds)
+        lines_cpu = daemon.cpu_seconds() - before - silent_usage * (time.monotonic() - begin)
+        used_memory = daemon.resident_bytes()
+        deliveries = cost_of_deliveries(daemon, servers, clients, silent_usage, idle_seconds)
+        fan_out = cost_of_fan_out(daemon, servers, clients, silent_usage)
         replaced = min(sessions, 1000)
         before, begin = daemon.cpu_seconds(), time.monotonic()
-        clients.ask("leave", replaced)
+        clients.call("leave", replaced)
         time.sleep(0.5)
-        ending_cpu = daemon.cpu_seconds() - before - silent * (time.monotonic() - begin)
+        ending_cpu = daemon.cpu_seconds() - before - silent_usage * (time.monotonic() - begin)
         reopened = open_sessions(daemon, clients, replaced)
-        top = daemon.resident_bytes()
-        moved_early, _ = clients.ask("count_ended")
+        memory_again = daemon.resident_bytes()
+        moved_early, _ = clients.call("count_ended")
         stopping_cpu, stopping_seconds = daemon.stop()
-        moved, cut_off = clients.ask("count_ended", True)
+        moved, cut_off = clients.call("count_ended", True)
     return {
-        "memory_bare": bare, "memory_new": new, "memory_used": used, "memory_again": top,
+        "memory_bare": bare_memory, "memory_new": new_memory, "memory_used": used_memory,
+        "memory_again": memory_again,
         "fds_bare": bare_fds, "fds": fds,
-        "core_empty": f"{empty:.5f}", "core_silent": f"{silent:.5f}",
+        "core_empty": f"{empty_usage:.5f}", "core_silent": f"{silent_usage:.5f}",
         "set_up_us": microseconds_each(opened["cpu"], sessions + opened["refused"]),
         "refused": opened["refused"],
         "set_up_median_ms": f"{opened['median'] * 1e3:.2f}",
         "lines": lines_sent, "lines_back": lines_back,
         "own_line_us": microseconds_each(lines_cpu, lines_sent),
-        "core_at_rest": f"{silent + sessions / 2 * lines_cpu / max(lines_sent, 1):.5f}",
+        "core_at_rest": f"{silent_usage + sessions / 2 * lines_cpu / max(lines_sent, 1):.5f}",
         "delivered": deliveries[0], "delivery_us": microseconds_each(deliveries[1], deliveries[0]),
         "fan_out_us": microseconds_each(fan_out[1], fan_out[0]), "fan_out_last_ms": f"{fan_out[2] * 1e3:.1f}",
         "end_us": microseconds_each(ending_cpu, replaced),
@@ -106,15 +107,15 @@
 def measure_placing(listed: int, repeat: int) -> dict:
     """Set-ups with so many servers listed: the cost of choosing a server on a real daemon."""
     with daemon_with_load(listed) as (daemon, _, clients):
-        idle = daemon.core_usage(2.0)
+        idle_usage = daemon.core_usage(2.0)
         before, begin = daemon.cpu_seconds(), time.monotonic()
-        answers = clients.ask("open", PLACED, OPEN_RATE)
-        cpu = daemon.cpu_seconds() - before - idle * (time.monotonic() - begin)
+        answers = clients.call("open", PLACED, OPEN_RATE)
+        cpu = daemon.cpu_seconds() - before - idle_usage * (time.monotonic() - begin)
     return {
         "up": answers.get("UP", 0), "refused": PLACED - answers.get("UP", 0),
         "asked_us": microseconds_each(cpu, PLACED),
         "took_s": f"{answers['took']:.2f}", "median_ms": f"{answers['median'] * 1e3:.2f}",
-        "core_at_rest": f"{idle:.5f}",
+        "core_at_rest": f"{idle_usage:.5f}",
     }  # fmt: skip
 
 
@@ -126,7 +127,7 @@
         for _ in range(ROUNDS):
             open_sessions(daemon, clients, CHURNED)
             memory.append(daemon.resident_bytes())
-            clients.ask("leave", CHURNED)
+            clients.call("leave", CHURNED)
             time.sleep(0.5)
     return {
         "memory": memory[0],
@@ -145,13 +146,13 @@
     with daemon_with_load() as (daemon, servers, clients):
         open_sessions(daemon, clients, sessions)
         before, begin = daemon.cpu_seconds(), time.monotonic()
-        servers.tell("deliver", delivery_rate, WHOLE_LOAD_SECONDS, LINE_SIZE)
-        clients.tell("send_lines", WHOLE_LOAD_SECONDS, sessions / client_rate)
-        deliveries_sent, seconds = servers.answer()
+        servers.send_command("deliver", delivery_rate, WHOLE_LOAD_SECONDS, LINE_SIZE)
+        clients.send_command("send_lines", WHOLE_LOAD_SECONDS, sessions / client_rate)
+        deliveries_sent, seconds = servers.receive_answer()
         load_span = time.monotonic() - begin
         load_cpu = daemon.cpu_seconds() - before
-        lines_sent, lines_back = clients.answer()
-        delivered, delays = clients.ask("take_deliveries", deliveries_sent)
+        lines_sent, lines_back = clients.receive_answer()
+        delivered, delays = clients.call("take_deliveries", deliveries_sent)
         total_cpu, total_span = daemon.cpu_seconds() - before, time.monotonic() - begin
     return {
         "sent": deliveries_sent, "came": delivered, "said": lines_sent, "back": lines_back,
@@ -168,25 +169,25 @@
 
 
 def cost_of_deliveries(
-    daemon: Daemon, servers: Worker, clients: Worker, silent: float, seconds: float
+    daemon: Daemon, servers: Worker, clients: Worker, silent_usage: float, seconds: float
 ) -> tuple[int, float]:
     """How many deliveries reached the clients, and the daemon's processor seconds for them alone."""
     before, begin = daemon.cpu_seconds(), time.monotonic()
-    sent, _ = servers.ask("deliver", PACED_RATE, seconds, LINE_SIZE)
-    delivered, _ = clients.ask("take_deliveries", sent)
-    return delivered, daemon.cpu_seconds() - before - silent * (time.monotonic() - begin)
+    sent, _ = servers.call("deliver", PACED_RATE, seconds, LINE_SIZE)
+    delivered, _ = clients.call("take_deliveries", sent)
+    return delivered, daemon.cpu_seconds() - before - silent_usage * (time.monotonic() - begin)
 
 
 def cost_of_fan_out(
-    daemon: Daemon, servers: Worker, clients: Worker, silent: float
+    daemon: Daemon, servers: Worker, clients: Worker, silent_usage: float
 ) -> tuple[int, float, float]:
     """One line to each session at once: how many arrived, the daemon's seconds, and the longest delay."""
     before, begin = daemon.cpu_seconds(), time.monotonic()
-    sent, _ = servers.ask("fan_out", LINE_SIZE)
-    delivered, delays = clients.ask("take_deliveries", sent)
+    sent, _ = servers.call("fan_out", LINE_SIZE)
+    delivered, delays = clients.call("take_deliveries", sent)
     return (
         delivered,
-        daemon.cpu_seconds() - before - silent * (time.monotonic() - begin),
+        daemon.cpu_seconds() - before - silent_usage * (time.monotonic() - begin),
         max(delays, default=0.0),
     )
 
@@ -195,13 +196,13 @@
     """Deliveries at a constant rate over so many sessions: how many arrived, their delays, processor time."""
     with daemon_with_load() as (daemon, servers, clients):
         open_sessions(daemon, clients, sessions)
-        silent = daemon.core_usage(2.0)
+        silent_usage = daemon.core_usage(2.0)
         before, begin = daemon.cpu_seconds(), time.monotonic()
-        sent, seconds = servers.ask("deliver", rate, 4.0, size)
+        sent, seconds = servers.call("deliver", rate, 4.0, size)
         load_span = time.monotonic() - begin
         load_cpu = daemon.cpu_seconds() - before
-        delivered, delays = clients.ask("take_deliveries", sent)
-        cpu = daemon.cpu_seconds() - before - silent * (time.monotonic() - begin)
+        delivered, delays = clients.call("take_deliveries", sent)
+        cpu = daemon.cpu_seconds() - before - silent_usage * (time.monotonic() - begin)
     return {
         "sent": sent, "sent_a_second": f"{sent / seconds:.0f}", "came": delivered,
         "core": f"{load_cpu / load_span:.4f}", "line_us": microseconds_each(cpu, delivered),
--- a/thymedeck/lab/scenario.py
+++ b/thymedeck/lab/scenario.py
@@ -23,7 +23,7 @@
     peers: bool = False
 
 
-class ServerGroup(StrictStruct):
+class ServerGroupSpec(StrictStruct):
     count: int
     kind: str = "m1"
     zone: str = "a"
@@ -37,7 +37,7 @@
     known: bool = True  # whether balancers are given the servers at startup
 
 
-class ClientGroup(StrictStruct):
+class ClientGroupSpec(StrictStruct):
     rate: str
     life: str = "10 s"
     classes: tuple[str, ...] = ("chat",)
@@ -78,9 +78,9 @@
     length: str
     fleet: FleetSpec
     seed: int = 1
-    servers: list[ServerGroup] = []
+    servers: list[ServerGroupSpec] = []
     list_service: ListServiceSpec = msgspec.field(default_factory=ListServiceSpec)
-    clients: list[ClientGroup] = []
+    clients: list[ClientGroupSpec] = []
     broken: list[FaultSpec] = []
     deeds: list[TimedAction] = []
     agree_within: str = ""  # at the end: every running balancer knows all running ones and no others
--- a/thymedeck/lab/scenario_run.py
+++ b/thymedeck/lab/scenario_run.py
@@ -166,11 +166,11 @@
             case "silent":
                 server.is_silent = True
             case "lose answers":
-                server.lose_answers = True
+                server.loses_answers = True
             case "reset lines":
-                server.reset_lines = True
+                server.resets_connections = True
             case "well":
-                server.is_silent = server.lose_answers = server.reset_lines = False
+                server.is_silent = server.loses_answers = server.resets_connections = False
 
     # Evaluation
 
@@ -180,7 +180,7 @@
         running = set(self.names) & testbed.alive
         if isinstance(testbed, VirtualTestbed):
             return all(
-                {peer.name for peer in testbed.carriers[name].membership.alive_peers()} == running - {name}
+                {peer.name for peer in testbed.transports[name].membership.alive_peers()} == running - {name}
                 for name in running
             )
         return all(testbed.live_peer_count(name) == len(running) - 1 for name in running)
--- a/thymedeck/lab/standins.py
+++ b/thymedeck/lab/standins.py
@@ -270,8 +270,8 @@
         self.started_at = -(1 << 40)
         self.is_draining = False
         self.is_silent = False  # accepts connections and sends nothing
-        self.lose_answers = False  # runs each request but closes the connection without an answer
-        self.reset_lines = False  # resets the connection at its OPEN line
+        self.loses_answers = False  # runs each request but closes the connection without an answer
+        self.resets_connections = False  # resets the connection at its OPEN line
         self.busy_until = 0
         self.connections: dict[ServerConnection, None] = {}
         self.recent_dials: deque[int] = deque()  # times of dials while cold, within the window
@@ -334,10 +334,10 @@
                 return
         if self.is_silent:
             return
-        if self.reset_lines:
+        if self.resets_connections:
             self.record_answer(connection, "reset")
             connection.close(reset=True)
-        elif self.lose_answers:
+        elif self.loses_answers:
             self.record_answer(connection, "lost")
             connection.close()
         elif self.is_draining or sum(other.is_up for other in self.connections) >= self.limit:
--- a/thymedeck/lab/testbed.py
+++ b/thymedeck/lab/testbed.py
@@ -154,7 +154,7 @@
         self.network.host_names |= {"10.2.0.1": "list", "10.3.0.1": "clients"}
         self.machines: dict[str, Machine] = {}
         self.services: dict[str, Service] = {}
-        self.carriers: dict[str, PeerTransport] = {}
+        self.transports: dict[str, PeerTransport] = {}
         self.names_by_host: dict[str, str] = {}
         self.hosts: dict[str, str] = {}
 
@@ -205,7 +205,9 @@
         service.loop.running = True
         self.network.loops.append(service.loop)
         if self.peers_options is not None:
-            self.carriers[name] = PeerTransport(service, self.peers_settings(name), machine, name, start.seed)
+            self.transports[name] = PeerTransport(
+                service, self.peers_settings(name), machine, name, start.seed
+            )
         self.alive.add(name)
         self.record.note("started", balancer=name)
 
@@ -337,7 +339,7 @@
         self.source = source
         self.target = target
         self.destination = destination
-        self.listener = ListeningSocket(testbed.loop, ("127.0.0.1", 0), self.accept)
+        self.listening_socket = ListeningSocket(testbed.loop, ("127.0.0.1", 0), self.accept)
 
     def accept(self, sock: object, source: tuple[str, int]) -> None:
         near = Pipe(self, sock, self.source, self.target)
@@ -422,7 +424,7 @@
     def relay_address(self, source: str, target: str, destination: tuple[str, int]) -> tuple[str, int]:
         if (source, target) not in self.stream_relays:
             self.stream_relays[source, target] = StreamRelay(self, source, target, destination)
-        return self.stream_relays[source, target].listener.address
+        return self.stream_relays[source, target].listening_socket.address
 
     def server_address_for(self, server: str, balancer: str) -> str:
         # A server that was never opened gets an address at which nothing listens.
@@ -594,13 +596,17 @@
                 process.kill()
         for process in self.processes.values():
             process.wait()
-        for listener in [
+        for listening_socket in [
             *self.list_service.listening_sockets.values(),
-            *(listener for server in self.servers.values() for listener in server.listening_sockets),
+            *(
+                listening_socket
+                for server in self.servers.values()
+                for listening_socket in server.listening_sockets
+            ),
         ]:
-            listener.close()
+            listening_socket.close()
         for relay in self.stream_relays.values():
-            relay.listener.close()
+            relay.listening_socket.close()
         for relay in self.datagram_relays.values():
             relay.sock.close()
         self.loop.selector.close()
@@ -628,9 +634,9 @@
         testbed.datagram_relays[name] = DatagramRelay(testbed, name, address)
         testbed.datagram_source_names[address] = name
         own = load_peer_settings(str(testbed.write_peers_file(name)))
-        self.envelope = DatagramCodec(own.fleet, [bytes.fromhex(key)])
+        self.codec = DatagramCodec(own.fleet, [bytes.fromhex(key)])
         unix_ms = testbed.system.time_ns() // 1_000_000
-        self.peers = Membership(own, name, 1, self.loop.now(), unix_ms, 1)
+        self.membership = Membership(own, name, 1, self.loop.now(), unix_ms, 1)
         self.received: list[Message] = []
         self.sends_extra_fields = False  # as a later version of the protocol might
         self.loop.watch(self.sock, 0, READ, self)
@@ -642,15 +648,15 @@
             self.handle_event(Tick())
 
     def handle_event(self, event: Event) -> None:
-        for action in self.peers.handle(self.loop.now(), event):
+        for action in self.membership.handle(self.loop.now(), event):
             if isinstance(action, Send):
                 self.send(action.address, action.message)
 
     def send(self, address: str, message: Message) -> None:
-        data = self.envelope.seal(message)
+        data = self.codec.seal(message)
         if self.sends_extra_fields:
             body = msgspec.msgpack.encode([*msgspec.msgpack.decode(encode(message)), {"newer": True}])
-            data = self.envelope.digest(self.envelope.keys[0], body) + body
+            data = self.codec.digest(self.codec.keys[0], body) + body
         self.send_raw(address, data)
 
     def send_raw(self, address: str, data: bytes) -> None:
@@ -659,11 +665,11 @@
 
     def send_forged(self, peer: Peer, kind: MessageKind, name: str = "", **fields: object) -> None:
         """Sends a message with any content to a known peer, also in the name of another member."""
-        self.peers.counter += 1
-        identity = (self.peers.incarnation, self.peers.counter)
+        self.membership.counter += 1
+        identity = (self.membership.incarnation, self.membership.counter)
         self.send(
             peer.address,
-            Message(VERSION, kind, name or self.peers.name, *identity, token=peer.token, **fields),
+            Message(VERSION, kind, name or self.membership.name, *identity, token=peer.token, **fields),
         )
 
     def ready(self, mask: int) -> None:
@@ -673,7 +679,7 @@
             except BlockingIOError:
                 return
             with contextlib.suppress(DatagramError):
-                message = self.envelope.open(data)
+                message = self.codec.open(data)
                 self.received.append(message)
                 self.handle_event(MessageReceived(message, len(data)))
 
