--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -40,8 +40,8 @@
 SIZE = 8
 
 
-def converged_fleet(balancers: int = SIZE, seed: int = 1, **more: object) -> MembershipSimulation:
-    simulation = MembershipSimulation(balancers, seed, **more)
+def converged_fleet(balancers: int = SIZE, seed: int = 1, **overrides: object) -> MembershipSimulation:
+    simulation = MembershipSimulation(balancers, seed, **overrides)
     assert simulation.run_until(simulation.all_agree, 30 * SECOND) >= 0
     simulation.run(3 * SECOND)
     return simulation
@@ -83,12 +83,12 @@
 
 def test_a_partition_heals_and_the_totals_agree_again() -> None:
     simulation = converged_fleet(10)
-    for one, other in (("b[0-4]", "b[5-9]"), ("b[5-9]", "b[0-4]")):
-        simulation.add_fault(0, 15 * SECOND, one, other, cut=True)
+    for source, target in (("b[0-4]", "b[5-9]"), ("b[5-9]", "b[0-4]")):
+        simulation.add_fault(0, 15 * SECOND, source, target, cut=True)
     simulation.run(14 * SECOND)
     for member in simulation.members.values():
         half = "01234" if member.name[1] in "01234" else "56789"
-        assert {peer.name for peer in member.alive_peers()} == {f"b{at}" for at in half} - {member.name}
+        assert {peer.name for peer in member.alive_peers()} == {f"b{index}" for index in half} - {member.name}
         assert member.fleet_totals(simulation.now).coverage == 0.5
     simulation.run(SECOND)
     assert simulation.run_until(simulation.all_agree, 5 * SECOND) >= 0
@@ -127,12 +127,12 @@
 
 def test_stalled_balancers_declare_nobody_dead() -> None:
     simulation = converged_fleet(9)
-    for at in (0, 3, 6):
-        simulation.freeze(at, 20 * SECOND)
+    for index in (0, 3, 6):
+        simulation.freeze(index, 20 * SECOND)
     simulation.run(19 * SECOND)
-    running = [simulation.member(at) for at in range(9) if at % 3]
+    running = [simulation.member(index) for index in range(9) if index % 3]
     assert all(
-        {peer.name for peer in member.alive_peers()} == {one.name for one in running} - {member.name}
+        {peer.name for peer in member.alive_peers()} == {other.name for other in running} - {member.name}
         for member in running
     )
     since = len(simulation.logs)
@@ -144,11 +144,11 @@
 
 def test_half_the_fleet_restarts_with_clocks_an_hour_behind() -> None:
     simulation = converged_fleet()
-    for at in range(0, SIZE, 2):
-        simulation.kill(at)
+    for index in range(0, SIZE, 2):
+        simulation.kill(index)
     simulation.run(2 * SECOND)
-    for at in range(0, SIZE, 2):
-        simulation.start(f"b{at}", peer_address(at), unix_ms=1_790_000_000_000 - 3_600_000)
+    for index in range(0, SIZE, 2):
+        simulation.start(f"b{index}", peer_address(index), unix_ms=1_790_000_000_000 - 3_600_000)
     assert simulation.run_until(simulation.all_agree, 30 * SECOND) >= 0
     check_limits(simulation)
 
@@ -156,10 +156,10 @@
 class MaliciousMember:
     """A member with a valid key that sends arbitrary messages from its own address."""
 
-    def __init__(self, simulation: MembershipSimulation, at: int) -> None:
+    def __init__(self, simulation: MembershipSimulation, index: int) -> None:
         self.simulation = simulation
-        self.member = simulation.member(at)
-        self.address = peer_address(at)
+        self.member = simulation.member(index)
+        self.address = peer_address(index)
 
     def send(
         self, receiver: Membership, kind: MessageKind = MessageKind.ACK, name: str = "", **fields: object
@@ -177,7 +177,7 @@
 def test_a_malicious_member_can_not_declare_others_dead() -> None:
     simulation = converged_fleet()
     malicious = MaliciousMember(simulation, 7)
-    others = [simulation.member(at) for at in range(7)]
+    others = [simulation.member(index) for index in range(7)]
     for _ in range(300):
         for member in others:
             rumours = [
@@ -207,9 +207,9 @@
     assert simulation.run_until(lambda: not simulation.count_holders("b3"), 5 * SECOND) >= 0
     logged_before = len(simulation.logs)
     for attempt in range(40):
-        for one in (simulation.member(n) for n in (0, 1, 2, 4, 5, 6)):
+        for observing in (simulation.member(n) for n in (0, 1, 2, 4, 5, 6)):
             malicious.send(
-                one,
+                observing,
                 liveness_proofs=old_proof + liveness_proof(victim.chain_key, 2 + attempt, bytes(LINK_BYTES)),
             )
         simulation.run(SECOND // 10)
@@ -250,24 +250,30 @@
     assert simulation.run_until(simulation.all_agree, 10 * SECOND) >= 0
 
 
-@given(secret=st.binary(min_size=8, max_size=32), known=st.integers(0, 600), more=st.integers(0, 600))
-def test_a_later_link_verifies_against_an_earlier_one_only(secret: bytes, known: int, more: int) -> None:
-    chain, later = HashChain(secret), known + more
-    steps = steps_ahead(later % 256, known)
-    assert steps == (more if more <= 128 else 0 if more % 256 > 128 else more % 256)
-    assert verify_link(chain.link(later), more, chain.link(known))
-    assert not verify_link(chain.link(known), more + 1, chain.link(later))
+@given(
+    secret=st.binary(min_size=8, max_size=32), earlier=st.integers(0, 600), steps_between=st.integers(0, 600)
+)
+def test_a_later_link_verifies_against_an_earlier_one_only(
+    secret: bytes, earlier: int, steps_between: int
+) -> None:
+    chain, later = HashChain(secret), earlier + steps_between
+    steps = steps_ahead(later % 256, earlier)
+    assert steps == (
+        steps_between if steps_between <= 128 else 0 if steps_between % 256 > 128 else steps_between % 256
+    )
+    assert verify_link(chain.link(later), steps_between, chain.link(earlier))
+    assert not verify_link(chain.link(earlier), steps_between + 1, chain.link(later))
 
 
 def test_counts_of_another_balancer_can_not_be_forged() -> None:
     simulation = converged_fleet()
     malicious = MaliciousMember(simulation, 7)
     for _ in range(50):
-        for at in range(7):
-            member = simulation.member(at)
+        for index in range(7):
+            member = simulation.member(index)
             before = {
-                name: (one.incarnation, one.counts)
-                for name, one in member.counts_table.received.items()
+                name: (entry.incarnation, entry.counts)
+                for name, entry in member.counts_table.received.items()
                 if name != "b7"
             }
             for name in before:
@@ -277,8 +283,8 @@
                     member, MessageKind.COUNTS, name=name, counts=forged, address=malicious.address
                 )
             after = {
-                name: (one.incarnation, one.counts)
-                for name, one in member.counts_table.received.items()
+                name: (entry.incarnation, entry.counts)
+                for name, entry in member.counts_table.received.items()
                 if name != "b7"
             }
             assert after == before
@@ -319,18 +325,18 @@
     simulation = converged_fleet(peers_most=20)
     member = simulation.member(0)
     codec = DatagramCodec("lab", list(KEYS))
-    for at in range(5_000):
+    for index in range(5_000):
         ping = Message(
             VERSION,
             MessageKind.PING,
-            f"x{at}",
+            f"x{index}",
             PROCESS_SPAN,
             1,
-            address=peer_address(1_000 + at),
-            nonce=at + 1,
+            address=peer_address(1_000 + index),
+            nonce=index + 1,
         )
         simulation.deliver(peer_address(0), codec.seal(ping))
-        if at % 50 == 0:
+        if index % 50 == 0:
             simulation.run(SECOND // 50)
     assert len(member.peers) == SIZE - 1 and len(member.candidates) <= membership.MAX_CANDIDATES
     assert len(member.send_queue) <= membership.MAX_SEND_QUEUE
@@ -374,24 +380,24 @@
     codec = DatagramCodec("lab", list(KEYS))
     message = Message(VERSION, MessageKind.PING, "b1", PROCESS_SPAN, 1)
     fields = msgspec.msgpack.decode(encode(message))
-    more = msgspec.msgpack.encode([*fields, "new", {"more": 1}])
-    assert codec.open(codec.digest(KEYS[0], more) + more) == message
+    extended = msgspec.msgpack.encode([*fields, "new", {"more": 1}])
+    assert codec.open(codec.digest(KEYS[0], extended) + extended) == message
     other = msgspec.msgpack.encode([VERSION + 1, {"all": "new"}])
-    for body, why in (
+    for body, reason in (
         (other, "version"),
         (b"\xc1", "shape"),
-        (more[:-9], "shape"),
-        (more + bytes(MAX_DATAGRAM_BYTES), "size"),
+        (extended[:-9], "shape"),
+        (extended + bytes(MAX_DATAGRAM_BYTES), "size"),
     ):
-        with pytest.raises(DatagramError, match=why):
+        with pytest.raises(DatagramError, match=reason):
             codec.open(codec.digest(KEYS[0], body) + body)
-    good = codec.seal(message)
-    for bad in (
-        good[:20] + bytes([good[20] ^ 1]) + good[21:],
+    datagram = codec.seal(message)
+    for altered in (
+        datagram[:20] + bytes([datagram[20] ^ 1]) + datagram[21:],
         DatagramCodec("other", list(KEYS)).seal(message),
     ):
         with pytest.raises(DatagramError, match="key"):
-            codec.open(bad)
+            codec.open(altered)
 
 
 @given(st.binary(max_size=200), st.integers(0, 1))
@@ -424,26 +430,26 @@
 
     def check_versions() -> None:
         for key, member in simulation.alive().items():
-            for name, one in member.counts_table.received.items():
-                held = (one.incarnation, one.counts.version)
+            for name, entry in member.counts_table.received.items():
+                held = (entry.incarnation, entry.counts.version)
                 assert last.get((key, id(member), name), (0, 0)) <= held
                 last[key, id(member), name] = held
 
-    for what, one, other, span in steps:
-        match what:
+    for kind, index, other_index, duration in steps:
+        match kind:
             case "cut":
-                simulation.add_fault(0, span * SECOND // 4, f"b{one}", f"b{other}", cut=True)
+                simulation.add_fault(0, duration * SECOND // 4, f"b{index}", f"b{other_index}", cut=True)
             case "lose" | "repeat":
                 simulation.add_fault(
-                    0, span * SECOND // 4, "*", f"b{other}", **{what: 0.5}, spread=SECOND // 2
+                    0, duration * SECOND // 4, "*", f"b{other_index}", **{kind: 0.5}, spread=SECOND // 2
                 )
             case "kill":
-                simulation.kill(one)
-            case "start" if peer_address(one) in simulation.killed:
-                simulation.start(f"b{one}", peer_address(one))
+                simulation.kill(index)
+            case "start" if peer_address(index) in simulation.killed:
+                simulation.start(f"b{index}", peer_address(index))
             case "freeze":
-                simulation.freeze(one, span * SECOND // 8)
-        simulation.run(span * SECOND // 10)
+                simulation.freeze(index, duration * SECOND // 8)
+        simulation.run(duration * SECOND // 10)
         check_versions()
     simulation.run(20 * SECOND)
     assert simulation.run_until(simulation.all_agree, 40 * SECOND) >= 0
@@ -534,8 +540,8 @@
 def test_the_largest_counts_fit_one_datagram_and_every_session_is_counted() -> None:
     simulation = converged_fleet(2)
     member = simulation.member(0)
-    many = [(1 << 31, 10**6 + at) for at in range(140)]
-    kinds = [("k" * 64 + str(at), 10**9) for at in range(9)]
+    many = [(1 << 31, 10**6 + index) for index in range(140)]
+    kinds = [("k" * 64 + str(index), 10**9) for index in range(9)]
     for peer in member.peers.values():
         peer.name = "n" * 64
     member.counts_table.own = None
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -65,9 +65,9 @@
         for round_number in range(60):
             for peer in honest_peers:
                 rumours = [
-                    Rumour(RumourStatus.DEAD, one.name, one.incarnation)
-                    for one in honest_peers
-                    if one is not peer
+                    Rumour(RumourStatus.DEAD, other.name, other.incarnation)
+                    for other in honest_peers
+                    if other is not peer
                 ]
                 fake_peer.send_forged(peer, MessageKind.ACK, rumours=rumours)
                 false_counts = SessionCounts(10**9, [("m1", 10**6)])
@@ -127,45 +127,48 @@
 REQUEST = {"what": "client line", "id": "a", "balancer": "b0", "kind": "once", "deadline": 100}
 
 
-def event(at: int, what: str, **more: object) -> dict:
-    return {"at": at, "what": what, "id": "a", "balancer": "b0", "server": "s0"} | more
+def entry_of(at: int, what: str, **fields: object) -> dict:
+    return {"at": at, "what": what, "id": "a", "balancer": "b0", "server": "s0"} | fields
 
 
 VIOLATIONS = {
     "no answer": (checks.check_answers, [REQUEST | {"at": 0}], {"end": 10**6}),
     "a late answer": (
-        checks.check_answers, [REQUEST | {"at": 0}, event(5000, "client answer", word="UP")], {"end": 10**6},
+        checks.check_answers,
+        [REQUEST | {"at": 0}, entry_of(5000, "client answer", word="UP")],
+        {"end": 10**6},
     ),
     "two answers": (
         checks.check_answers,
-        [REQUEST | {"at": 0}] + 2 * [event(5, "client answer", word="UP")],
+        [REQUEST | {"at": 0}] + 2 * [entry_of(5, "client answer", word="UP")],
         {"end": 10**6},
     ),
-    "more after a refusal": (
+    "a second answer after a refusal": (
         checks.check_answers,
-        [REQUEST | {"at": 0}, event(5, "client answer", word="BUSY"), event(6, "client more", line="UP")],
+        [REQUEST | {"at": 0}, entry_of(5, "client answer", word="BUSY"),
+         entry_of(6, "client more", line="UP")],
         {"end": 10**6},
     ),
     "once-only at two servers": (
         checks.check_effects,
-        [REQUEST | {"at": 0}, event(1, "server line"), event(2, "server answer", answer="lost"),
-         event(3, "server end"), event(4, "server line", server="s1")],
+        [REQUEST | {"at": 0}, entry_of(1, "server line"), entry_of(2, "server answer", answer="lost"),
+         entry_of(3, "server end"), entry_of(4, "server line", server="s1")],
         {"effects": {"once": "once"}},
     ),
-    "two lines out": (
+    "open at two servers": (
         checks.check_effects,
-        [event(1, "server line"), event(4, "server line", server="s1")],
+        [entry_of(1, "server line"), entry_of(4, "server line", server="s1")],
         {"effects": {}},
     ),
-    "a dial after the grace": (
+    "a dial after the grace period": (
         checks.check_drains,
-        [event(0, "list answer", status=200, told=[("s0", "DRAINING")]), event(30_000, "server line")],
+        [entry_of(0, "list answer", status=200, told=[("s0", "DRAINING")]), entry_of(30_000, "server line")],
         {"grace": 20_000},
     ),
-    "a rush on a cold server": (
+    "too many dials to a cold server": (
         checks.check_cold_budgets,
-        [event(0, "cold", budget=3, window=100, until=1000)]
-        + [event(at, "server line") for at in (50, 60, 99, 101)],
+        [entry_of(0, "cold", budget=3, window=100, until=1000)]
+        + [entry_of(at, "server line") for at in (50, 60, 99, 101)],
         {},
     ),
 }  # fmt: skip
@@ -173,9 +176,9 @@
 
 @pytest.mark.parametrize("name", VIOLATIONS)
 def test_each_check_detects_its_violation(name: str) -> None:
-    check, entries, more = VIOLATIONS[name]
-    assert check(entries, **more)
-    assert not check(entries[:-1] if name != "no answer" else [], **more) or name in (
+    check, entries, arguments = VIOLATIONS[name]
+    assert check(entries, **arguments)
+    assert not check(entries[:-1] if name != "no answer" else [], **arguments) or name in (
         "a late answer",
         "two answers",
     )
@@ -183,8 +186,8 @@
 
 def test_a_refused_once_only_session_may_go_to_another_server() -> None:
     entries = [
-        REQUEST | {"at": 0}, event(1, "server line"), event(2, "server answer", answer="BUSY"),
-        event(3, "server end"), event(4, "server line", server="s1"),
+        REQUEST | {"at": 0}, entry_of(1, "server line"), entry_of(2, "server answer", answer="BUSY"),
+        entry_of(3, "server end"), entry_of(4, "server line", server="s1"),
     ]  # fmt: skip
     assert not checks.check_effects(entries, {"once": "once"})
 
--- a/thymedeck/configuration/messages.py
+++ b/thymedeck/configuration/messages.py
@@ -23,9 +23,7 @@
 
     number: int = 0
     content: bytes = b""
-    rollback_content: bytes = (
-        b""  # content that a withdrawal of this version restores; empty: not withdrawable
-    )
+    rollback_content: bytes = b""  # what a withdrawal of this version restores; empty: not withdrawable
     withdrawn_number: int = 0  # number of the version that this one withdraws; 0: none
 
 
@@ -192,9 +190,8 @@
 class Parameters(Struct, frozen=True):
     """Timing of the protocol; the names are those of the settings."""
 
-    in_force_within: int = (
-        3 * SECOND
-    )  # from commit until every follower has applied it; violations are logged
+    # From the commit of a version until every follower has applied it; violations are logged.
+    in_force_within: int = 3 * SECOND
     ask_every: int = SECOND  # interval at which a follower polls one keeper
     answer_within: int = SECOND * 3 // 10  # timeout of a poll
     read_every: int = SECOND // 2  # interval at which a keeper reads from all other keepers
--- a/thymedeck/lab/checks.py
+++ b/thymedeck/lab/checks.py
@@ -92,7 +92,7 @@
 def check_drains(entries: list[Entry], grace: int, slack: int = SLACK) -> list[str]:
     """No dial to a server once the grace period has passed since its balancer learned of its drain or end."""
     violations = []
-    # By balancer and server: when the balancer was told.
+    # By balancer and server: when the balancer learned of the drain or end.
     learned_at: dict[tuple[str, str], int] = {}
     for entry in entries:
         if entry["what"] == "list answer" and entry["status"] == 200:
@@ -107,7 +107,8 @@
             if at is not None and entry["at"] > at + grace + slack:
                 delay = (entry["at"] - at) / 10
                 violations.append(
-                    f"{entry['id']}: {entry['balancer']} to {entry['server']} {delay:.0f} ms after told"
+                    f"{entry['id']}: {entry['balancer']} dialled {entry['server']} {delay:.0f} ms "
+                    "after it learned of the drain"
                 )
         elif entry["what"] in ("killed", "started"):
             # A restarted balancer begins with its old list.
--- a/thymedeck/lab/membership_simulation.py
+++ b/thymedeck/lab/membership_simulation.py
@@ -1,8 +1,9 @@
 """Simulates the membership protocol of hundreds of peers in virtual time.
 
 Runs the real decisions of the peers and the real encoding and authentication of their datagrams; the rest of
-a daemon is left out (the stages run whole daemons). `python -m thymedeck.lab peers` prints the measurements,
-which the tables of docs/peers.md show. Times are whole tenths of a millisecond unless stated otherwise.
+a daemon is left out (the testbeds of testbed.py run whole balancers). `python -m thymedeck.lab peers` prints
+the measurements, which the tables of docs/peers.md show. Times are whole tenths of a millisecond unless
+stated otherwise.
 """
 
 import heapq
@@ -46,7 +47,7 @@
 
 
 class ActualSessions:
-    """The sessions of one balancer, on a few servers; they open and close at random."""
+    """The sessions that one balancer really has, on a few servers; they open and close at random."""
 
     def __init__(self, rng: random.Random, servers: int) -> None:
         self.rng = rng
--- a/thymedeck/lab/records.py
+++ b/thymedeck/lab/records.py
@@ -9,14 +9,16 @@
 
 
 class Record:
+    """The entries of one run, in the order of their times."""
+
     def __init__(self, now: Callable[[], int]) -> None:
         """`now` returns tenths of a millisecond since the start of the run."""
         self.now = now
         self.entries: list[Entry] = []
 
-    def note(self, what: str, **more: object) -> None:
+    def note(self, what: str, **fields: object) -> None:
         """Appends an entry of kind `what` with the current time and the given fields."""
-        self.entries.append({"at": self.now(), "what": what, **more})
+        self.entries.append({"at": self.now(), "what": what, **fields})
 
     def of_kind(self, *kinds: str) -> list[Entry]:
         return [entry for entry in self.entries if entry["what"] in kinds]
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -217,7 +217,10 @@
 
 
 class RegionCut:
-    """While active, drops all datagrams between one group of peers and the others."""
+    """While active, drops all datagrams between one group of peers and the others.
+
+    Takes the place of `deliveries` of the simulation's faults.
+    """
 
     def __init__(self, simulation: MembershipSimulation, group: set[str]) -> None:
         self.original_deliveries, simulation.faults.deliveries = simulation.faults.deliveries, self.deliveries
@@ -249,7 +252,10 @@
 
 
 class TrafficMonitor:
-    """Counts the datagrams of real daemons as they reach the relays, before faults apply."""
+    """Counts the datagrams of real daemons as they reach the relays, before faults apply.
+
+    Takes the place of `deliveries` of the testbed's faults.
+    """
 
     def __init__(self, testbed: ProcessTestbed) -> None:
         self.tally = MessageTally()
--- a/thymedeck/lab/scale/daemon.py
+++ b/thymedeck/lab/scale/daemon.py
@@ -41,7 +41,7 @@
             "settings": deployment,
             "known": {"version": 1 if servers else -1, "servers": servers},
         }  # fmt: skip
-        config_file = Path(self.folder.name, "told.json")
+        config_file = Path(self.folder.name, "conf.json")
         config_file.write_bytes(orjson.dumps(config))
         command = [sys.executable, "-m", "thymedeck", "serve", "--config", config_file]
         if peers is not None:
--- a/thymedeck/lab/scale/endpoints.py
+++ b/thymedeck/lab/scale/endpoints.py
@@ -131,13 +131,13 @@
 
     def deliver(self, rate: int, seconds: float, size: int) -> tuple[int, float]:
         """Sends lines to the sessions in turn, `rate` per second; returns the number sent and the time."""
-        order = list(self.established)
+        descriptors = list(self.established)
         begin = time.monotonic()
         sent = position = 0
         while (now := time.monotonic()) < begin + seconds:
             due = int((now - begin) * rate)
             while sent < due:
-                sent += self.send_line(order[position % len(order)], size)
+                sent += self.send_line(descriptors[position % len(descriptors)], size)
                 position += 1
                 if not position % 64:
                     break
@@ -247,12 +247,12 @@
     def send_lines(self, seconds: float, interval: float = LINE_INTERVAL) -> tuple[int, int]:
         """Sends a line on each session once per interval; returns how many were sent and came back."""
         self.lines = sent = 0
-        order = list(self.established)
-        rate, begin = len(order) / interval, time.monotonic()
+        descriptors = list(self.established)
+        rate, begin = len(descriptors) / interval, time.monotonic()
         while (now := time.monotonic()) < begin + seconds:
             due = int((now - begin) * rate)
             while sent < due:
-                fd = order[sent % len(order)]
+                fd = descriptors[sent % len(descriptors)]
                 sent += 1
                 if fd in self.established:
                     self.write(fd, b"x\r\n")
--- a/thymedeck/lab/scale/fits.py
+++ b/thymedeck/lab/scale/fits.py
@@ -63,17 +63,17 @@
 def format_table(tables: dict[str, CsvTable], series: Iterable[Series]) -> list[str]:
     """Lines of a Markdown table with one fit in each row."""
     rows = ["| " + " | ".join(COLUMNS) + " |", "| --- " * len(COLUMNS) + "|"]
-    for one in series:
-        points = tables[one.table].points(one.x, one.y, **one.only)
-        points = [(x, y * one.scale) for x, y in points]
-        name = one.y + "".join(f", {key} {value}" for key, value in one.only.items())
+    for item in series:
+        points = tables[item.table].points(item.x, item.y, **item.only)
+        points = [(x, y * item.scale) for x, y in points]
+        name = item.y + "".join(f", {key} {value}" for key, value in item.only.items())
         try:
             fit = fit_line(points)
         except ValueError:
-            cells = [one.table, one.x, name, one.unit, "not measured", str(len(points)), *["-"] * 5]
+            cells = [item.table, item.x, name, item.unit, "not measured", str(len(points)), *["-"] * 5]
         else:
             cells = [
-                one.table, one.x, name, one.unit, f"{fit.x_min:g} to {fit.x_max:g}", str(fit.points),
+                item.table, item.x, name, item.unit, f"{fit.x_min:g} to {fit.x_max:g}", str(fit.points),
                 f"{fit.slope:.4g}", f"{fit.intercept:.4g}", f"{fit.r2:.3f}", f"{fit.spread:.2f}",
                 f"{fit.power:.2f}",
             ]  # fmt: skip
@@ -90,12 +90,12 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    for one in series:
-        points = [(x, y * one.scale) for x, y in table.points(one.x, one.y, **one.only)]
+    for item in series:
+        points = [(x, y * item.scale) for x, y in table.points(item.x, item.y, **item.only)]
         if len({x for x, _ in points}) < 2:
             continue
         fit = fit_line(points)
-        dots = axes.plot(*zip(*points, strict=True), ".", label=f"{one.y}, {one.unit}")
+        dots = axes.plot(*zip(*points, strict=True), ".", label=f"{item.y}, {item.unit}")
         ends = [fit.x_min, max(fit.x_max, target)]
         axes.plot(ends, [fit.at(x) for x in ends], "--", linewidth=0.8, color=dots[0].get_color())
     axes.axvline(target, color="grey", linewidth=0.6)
--- a/thymedeck/lab/scenario_run.py
+++ b/thymedeck/lab/scenario_run.py
@@ -11,7 +11,7 @@
 from .standins import ListedServer
 from .testbed import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
 
-EFFECTS = {"chat": "repeatable", "once": "once"}
+EFFECTS = {"chat": "repeatable", "once": "once"}  # by class of clients, for `check_effects`
 SETTLE_TIME = 5 * SECOND  # after the scenario's length, so that pending requests are answered
 
 
--- a/thymedeck/lab/standins.py
+++ b/thymedeck/lab/standins.py
@@ -131,7 +131,7 @@
         self.version = 1
         self.servers: dict[str, ListedServer] = {}
         self.changed_in_version: dict[str, int] = {}  # by server: the version of its last change
-        self.free_at = 0
+        self.free_at = 0  # when the queued requests will have been served
         self.is_down = False  # resets each connection
         self.stale_servers: dict[str, ListedServer] | None = None  # sent in place of `servers` if set
         self.sends_malformed_body = False
@@ -277,7 +277,7 @@
         self.recent_dials: deque[int] = deque()  # times of dials while cold, within the window
         self.budget = 0.0  # more dials than this within `window` while cold make it fail; 0: no limit
         self.window = 2 * SECOND
-        self.cold_for = 0
+        self.cold_for = 0  # counted from `started_at`
         self.has_failed = False
         self.listening_sockets: list[ListeningSocket] = []
 
--- a/thymedeck/lab/testbed.py
+++ b/thymedeck/lab/testbed.py
@@ -1,4 +1,4 @@
-"""Testbeds: balancers among stand-ins for everything they talk to, in virtual time or as real processes.
+"""Testbeds: balancers among stand-ins for everything they connect to, in virtual time or as real processes.
 
 Both testbeds have the same interface, so that a scenario runs on either. Faults refer to the parties by name:
 `b0`, `b1`, ... are balancers, `list` is the list service, servers go by their ids, and `clients` is all
@@ -55,8 +55,8 @@
 
     def __init__(self, loop: Loop, seed: int, settings: dict, peers_options: dict | None) -> None:
         self.loop = loop
-        self.begin = loop.now()
-        self.record = Record(lambda: loop.now() - self.begin)
+        self.started_at = loop.now()
+        self.record = Record(lambda: loop.now() - self.started_at)
         self.settings = settings
         self.peers_options = peers_options  # entries of the peers settings file; None: no peers
         self.faults = FaultInjector(seed)
@@ -64,11 +64,11 @@
         self.servers: dict[str, Server] = {}
         self.known_servers: list[ListedServer] = []  # given to balancers as their last known list
         self.client_groups: list[ClientGroup] = []
-        self.alive: set[str] = set()  # balancers that run and were not told to stop
+        self.alive: set[str] = set()  # balancers that run and have not been asked to stop
 
     def now(self) -> int:
         """Returns the time since the start of the run."""
-        return self.loop.now() - self.begin
+        return self.loop.now() - self.started_at
 
     def add_server(self, server_id: str, **options: int) -> Server:
         server = self.servers[server_id] = Server(self.loop, self.record, server_id, **options)
@@ -197,9 +197,9 @@
     def start(self, name: str) -> None:
         machine = self.machines[name] = Machine(self.network, self.host_of(name))
         config = orjson.dumps(self.balancer_config(name, self.rng.getrandbits(60)))
-        told = msgspec.json.decode(config, type=Told)
+        configuration = msgspec.json.decode(config, type=Told)
         listen, discovery = self.listen_address(name), self.list_address(name)
-        start = Start("none", told, listen, discovery, int(told.seed, 16))
+        start = Start("none", configuration, listen, discovery, int(configuration.seed, 16))
         service = self.services[name] = Service(start, machine)
         service.open()
         service.loop.running = True
@@ -689,6 +689,6 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Returns the CPU time that a process has used so far, from /proc."""
+    """Returns the CPU time that a process has used so far, in steps of a clock tick, from /proc."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
--- a/thymedeck/peers/counts_table.py
+++ b/thymedeck/peers/counts_table.py
@@ -42,7 +42,7 @@
         self.received: dict[str, ReceivedCounts] = {}
 
     def set_own(self, now: int, counts: SessionCounts) -> bool:
-        """Whether they differ from the last ones; only then do they get a new version."""
+        """Returns whether they differ from the last ones; only then do they get a new version."""
         last = self.own
         counts.version = 1 if last is None else last.version
         self.own_at = now
@@ -53,7 +53,7 @@
         return True
 
     def store(self, now: int, name: str, incarnation: int, counts: SessionCounts) -> bool:
-        """Stores counts that came from their owner itself; counts older than the stored ones are ignored."""
+        """Stores counts that came from their owner; returns False for counts older than the stored ones."""
         held = self.received.get(name)
         if held is not None and (held.incarnation, held.counts.version) > (incarnation, counts.version):
             return False
@@ -65,16 +65,16 @@
 
     def drop_expired(self, now: int) -> None:
         for name in [
-            name for name, one in self.received.items() if now - one.received_at > self.forget_after
+            name for name, entry in self.received.items() if now - entry.received_at > self.forget_after
         ]:
             del self.received[name]
 
     def totals(self, now: int, expected: int) -> FleetTotals:
         """Includes this balancer's own counts."""
         entries = [
-            (one.counts, one.received_at)
-            for one in self.received.values()
-            if now - one.received_at <= self.forget_after
+            (entry.counts, entry.received_at)
+            for entry in self.received.values()
+            if now - entry.received_at <= self.forget_after
         ]
         if self.own is not None:
             entries.append((self.own, self.own_at))
--- a/thymedeck/peers/membership.py
+++ b/thymedeck/peers/membership.py
@@ -50,7 +50,7 @@
 )
 from .settings import PeerSettings, is_address
 
-# Times are in tenths of a millisecond unless the name tells another unit.
+# Times are in tenths of a millisecond unless the name gives another unit.
 TICK = SECOND // 10
 STALL_THRESHOLD = SECOND // 2  # a tick that is this late shows that this process was stalled
 DETECTION_PAUSE = 2 * SECOND  # after a stall or a flood: failed probes don't count, no peer is declared dead
@@ -60,13 +60,12 @@
 INDIRECT_PROBES = 3  # peers asked for an indirect probe
 FAILURES_ALONE = 4  # failed probes required where nobody else suspects the peer; one where others do
 MIN_SUSPECTERS = 2  # other peers that have to suspect it for their suspicions to count
-SUSPICION_TIMEOUT_PER_ROUND = (
-    SECOND * 3 // 20
-)  # a rumour has to reach the suspect, and its proof to come back
+# Within the suspicion timeout a rumour has to reach the suspect, and its proof to come back.
+SUSPICION_TIMEOUT_PER_ROUND = SECOND * 3 // 20
 # When a rumour is checked by a probe, as parts of the suspicion timeout: by then most refutations have come.
 RUMOUR_PROBE_FROM, RUMOUR_PROBE_TO = 0.25, 0.5
 # After so many deaths within this time, this balancer itself is probably the one that is cut off, and the
-# others hold it dead: it then releases a liveness proof unasked.
+# others consider it dead: it then releases a liveness proof without being asked for one.
 MANY_DEATHS = 3
 MANY_DEATHS_WITHIN = 5 * SECOND
 SELF_PROOF_INTERVAL = 10 * SECOND
@@ -157,7 +156,7 @@
 
 
 class Candidate:
-    """An address under which a balancer is said to be, and which has not yet proved to be reached there."""
+    """An address at which a balancer is said to be reached, before it has proved that by a token."""
 
     __slots__ = ("attempts", "due_at", "nonce")
 
@@ -254,7 +253,7 @@
         return self.actions
 
     def alive_peers(self) -> list[Peer]:
-        """Peers not held dead, suspects among them."""
+        """Peers that are not considered dead, including suspects."""
         return [peer for peer in self.peers.values() if not peer.is_dead]
 
     def fleet_totals(self, now: int) -> FleetTotals:
@@ -425,7 +424,9 @@
 
     def send_urgent(self, is_own: bool = False) -> None:
         """Sends queued suspicions and liveness proofs to a few peers at once, ahead of the queued answers."""
-        others = [one for one in self.peers.values() if not (one.is_dead or one.is_suspect) and one.token]
+        others = [
+            other for other in self.peers.values() if not (other.is_dead or other.is_suspect) and other.token
+        ]
         for peer in self.sample(others, min(URGENT_FANOUT, len(others))):
             if is_own or self.urgent_limit.try_take(self.now, 1):
                 self.transmit(
@@ -533,10 +534,10 @@
 
     def apply_liveness_proofs(self, proofs: bytes, relay: Peer) -> None:
         """Checks each proof, whoever relayed it, against the latest link that is known of its owner."""
-        for one in split_fixed(proofs, PROOF_BYTES):
-            peer = self.by_chain_key.get(one[:CHAIN_KEY_BYTES])
+        for proof in split_fixed(proofs, PROOF_BYTES):
+            peer = self.by_chain_key.get(proof[:CHAIN_KEY_BYTES])
             steps = (
-                steps_ahead(one[CHAIN_KEY_BYTES], peer.link_number)
+                steps_ahead(proof[CHAIN_KEY_BYTES], peer.link_number)
                 if peer is not None and peer.chain_link
                 else 0
             )
@@ -544,17 +545,17 @@
                 if (
                     peer is not None
                     and peer.is_dead
-                    and one[CHAIN_KEY_BYTES] == peer.incarnation % PROCESS_SPAN % 256
+                    and proof[CHAIN_KEY_BYTES] == peer.incarnation % PROCESS_SPAN % 256
                 ):
-                    # An old link proves nothing, but shows that the relay holds the peer alive.
+                    # An old link proves nothing, but shows that the relay considers the peer alive.
                     self.schedule_probe(peer)
                 continue
-            if not verify_link(one[CHAIN_KEY_BYTES + 1 :], steps, peer.chain_link):
+            if not verify_link(proof[CHAIN_KEY_BYTES + 1 :], steps, peer.chain_link):
                 self.count_dropped("no proof of life")
                 self.note_false_claim(relay.name)
                 return
             peer.link_number += steps
-            peer.chain_link = one[CHAIN_KEY_BYTES + 1 :]
+            peer.chain_link = proof[CHAIN_KEY_BYTES + 1 :]
             peer.incarnation = max(
                 peer.incarnation, peer.incarnation // PROCESS_SPAN * PROCESS_SPAN + peer.link_number
             )
@@ -581,7 +582,7 @@
             return
         candidate = self.candidates.get(address)
         at_address = known if known and known.address == address else None
-        nonces = {one.nonce for one in (candidate, at_address) if one}
+        nonces = {contact.nonce for contact in (candidate, at_address) if contact}
         if (
             message.kind == MessageKind.ACK
             and message.nonce
@@ -813,7 +814,7 @@
         self.probing[peer.name] = peer
 
     def on_own_suspicion(self, incarnation: int) -> None:
-        """A peer suspects this balancer at `incarnation`, or holds it dead."""
+        """A peer suspects this balancer at `incarnation`, or considers it dead."""
         process = self.incarnation // PROCESS_SPAN
         if incarnation // PROCESS_SPAN > process:
             # From an earlier process, whose clock was ahead. It is limited, so that nobody can force new
@@ -910,7 +911,7 @@
             self.probe_next()
         self.contact_candidates()
         for nonce in [
-            nonce for nonce, one in self.indirect_probes.items() if self.now - one.started_at > 2 * SECOND
+            nonce for nonce, probe in self.indirect_probes.items() if self.now - probe.started_at > 2 * SECOND
         ]:
             del self.indirect_probes[nonce]
         self.counts_table.drop_expired(self.now)
@@ -940,9 +941,9 @@
     def probe_next(self) -> None:
         """Probes one alive peer and one dead one, and forgets those that have been dead for long."""
         for peer in [
-            one
-            for one in self.peers.values()
-            if one.is_dead and self.now - one.dead_since > FORGET_DEAD_AFTER
+            dead
+            for dead in self.peers.values()
+            if dead.is_dead and self.now - dead.dead_since > FORGET_DEAD_AFTER
         ]:
             self.forget(peer)
         for is_dead in (False, True):
@@ -1002,9 +1003,9 @@
             # With many suspects the fleet is probably partitioned: requests about the other side would use up
             # the send limit.
             helpers = [
-                one
-                for one in self.peers.values()
-                if not (one.is_dead or one.is_suspect or one is peer) and one.token
+                other
+                for other in self.peers.values()
+                if not (other.is_dead or other.is_suspect or other is peer) and other.token
             ]
             fields = {"nonce": peer.nonce, "target": peer.name}
             for helper in self.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
@@ -1046,7 +1047,7 @@
 
     def required_failures(self, peer: Peer) -> int:
         """Probes in a row that have to fail; more while many are lost on the way."""
-        others = sum(not (one.is_dead or one.is_suspect) for one in self.peers.values())
+        others = sum(not (other.is_dead or other.is_suspect) for other in self.peers.values())
         is_confirmed = others and len(peer.suspected_by) >= min(MIN_SUSPECTERS, others)
         return (1 if is_confirmed else FAILURES_ALONE) + self.expected_losses()
 
@@ -1067,7 +1068,7 @@
             not self.recent_deaths.try_take(self.now, 1)
             and self.now - self.self_proof_at >= SELF_PROOF_INTERVAL
         ):
-            # The peers that hold this balancer dead then get its proof from any peer that they reach again.
+            # Peers that consider this balancer dead then get its proof from any peer that they reach again.
             self.self_proof_at = self.now
             self.refute()
 
@@ -1086,22 +1087,24 @@
             if is_rejoin or self.now - self.started_at < EAGER_JOIN_FOR or not self.alive_peers():
                 known = {peer.address for peer in self.alive_peers()}
                 unknown = [
-                    one for one in self.settings.join if one not in known and one != self.settings.advertise
+                    listed
+                    for listed in self.settings.join
+                    if listed not in known and listed != self.settings.advertise
                 ]
                 # One random address at a time: a fleet that starts together must not overload the first one.
                 for address in self.sample(unknown, min(len(unknown), 1)):
                     self.add_candidate(address, self.now)
-        for address, one in list(self.candidates.items()):
-            if one.due_at > self.now:
+        for address, candidate in list(self.candidates.items()):
+            if candidate.due_at > self.now:
                 continue
-            if one.attempts >= MAX_CANDIDATE_PINGS:
+            if candidate.attempts >= MAX_CANDIDATE_PINGS:
                 del self.candidates[address]
                 continue
-            one.nonce = one.nonce or self.random_bits(NONCE_BITS) + 1
-            if not self.send_ping(address, b"", one.nonce, reserve=MEETING_RESERVE):
+            candidate.nonce = candidate.nonce or self.random_bits(NONCE_BITS) + 1
+            if not self.send_ping(address, b"", candidate.nonce, reserve=MEETING_RESERVE):
                 return
-            one.attempts += 1
-            one.due_at = self.now + int(
+            candidate.attempts += 1
+            candidate.due_at = self.now + int(
                 self.uniform(1, 2) * (self.settings.period + len(self.peers) * MEETING_SPREAD_PER_PEER)
             )
 
--- a/thymedeck/peers/messages.py
+++ b/thymedeck/peers/messages.py
@@ -58,16 +58,15 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """Newer versions may add fields at the end; they are ignored here."""
+    """The kind tells which fields are used. Newer versions may add fields at the end; they are ignored."""
 
     version: int
     kind: int
     name: str
     incarnation: int
     counter: int
-    token: bytes = (
-        b""  # the token that the receiver last issued: proves that the sender is reached at its address
-    )
+    # The token that the receiver last issued: proves that the sender is reached at its address.
+    token: bytes = b""
     issued_token: bytes = b""  # for the receiver to send back
     address: str = ""
     nonce: int = 0  # of a PING or ASK; returned by the ACK or PROOF
@@ -147,7 +146,7 @@
         and len(message.chain_link) in (0, LINK_BYTES)
         and not len(message.liveness_proofs) % PROOF_BYTES
         and not len(message.proof_requests) % PROOF_REQUEST_BYTES
-        and all(is_name(one.name) and 0 < one.incarnation < NUMBER_LIMIT for one in message.rumours)
+        and all(is_name(rumour.name) and 0 < rumour.incarnation < NUMBER_LIMIT for rumour in message.rumours)
         and (
             counts is None
             or (
--- a/thymedeck/peers/settings.py
+++ b/thymedeck/peers/settings.py
@@ -118,7 +118,7 @@
         ),
         join=tuple(
             format_address(address)
-            for address in entry("join", lambda addresses: [server_address(one) for one in addresses])
+            for address in entry("join", lambda addresses: [server_address(address) for address in addresses])
         ),
         keys=tuple(load_keys(key_path)),
         key_path=key_path,
--- a/thymedeck/peers/transport.py
+++ b/thymedeck/peers/transport.py
@@ -30,13 +30,12 @@
 SECOND = 10_000
 COUNT_INTERVAL = SECOND
 MAX_READS_PER_TURN = 32  # datagrams read before the loop serves its other sockets
-FLOOD_PAUSE = (
-    SECOND // 10
-)  # without reading, once the rate limit is reached; the socket buffers or loses the rest
+# Without reading, once the rate limit is reached; the socket buffers or loses what comes meanwhile.
+FLOOD_PAUSE = SECOND // 10
 
 
 class PeerTransport:
-    """Raises OSError if the address can't be bound."""
+    """Runs the membership logic of one balancer on a UDP socket. Raises OSError if it can't be bound."""
 
     def __init__(
         self, service: "Service", settings: PeerSettings, system: System, name: str, seed: int
@@ -124,7 +123,7 @@
             if server.standing:
                 kinds[kind_names.get(server.entry.kind, "") if server.entry else ""] += len(server.standing)
                 servers.append((server_key(server_id), len(server.standing)))
-        servers.sort(key=lambda one: (-one[1], one[0]))
+        servers.sort(key=lambda entry: (-entry[1], entry[0]))
         max_listed = self.settings.servers_most
         self.handle_event(
             CountsUpdated(
