--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -46,6 +46,7 @@
     ids=str,
 )
 def test_fewer_than_one_warm_up_in_ten_thousand_fails(case: Case) -> None:
+    """By the exact upper bounds, as simulation would take far too many warm-ups to show so rare a failure."""
     dense, simultaneous = failure_bounds(case, 1)
     assert dense < 1e-4
     assert simultaneous < 1e-4
@@ -57,6 +58,7 @@
     ids=str,
 )
 def test_no_cold_server_fails(case: Case) -> None:
+    """Nor does any balancer send more sessions than its own share of the budget."""
     for seed in range(4):
         fleet = ShareCheckingFleet(case, seed)
         assert fleet.run().failed == 0
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,7 @@
-"""The membership protocol in virtual time: joins, deaths, partitions, malicious members, limits."""
+"""The membership protocol in virtual time: joins, deaths, partitions, malicious members, limits.
+
+Each mutant in MUTANTS breaks one rule of the protocol; the test beside it has to fail with that mutant.
+"""
 
 import inspect
 import random
@@ -82,6 +85,7 @@
 
 
 def test_a_partition_heals_and_the_totals_agree_again() -> None:
+    """While cut, each half counts only itself; after that the totals include every balancer again."""
     simulation = converged_fleet(10)
     for source, target in (("b[0-4]", "b[5-9]"), ("b[5-9]", "b[0-4]")):
         simulation.add_fault(0, 15 * SECOND, source, target, cut=True)
@@ -104,6 +108,7 @@
 
 @pytest.mark.parametrize("direction", [("b2", "b5"), ("b5", "b2")])
 def test_a_one_way_cut_between_two_peers_causes_no_false_death(direction: tuple[str, str]) -> None:
+    """Direct probes between the two fail, but indirect probes and liveness proofs still get through."""
     simulation = converged_fleet()
     simulation.add_fault(0, 60 * SECOND, *direction, cut=True)
     simulation.run(60 * SECOND)
@@ -112,6 +117,7 @@
 
 
 def test_a_balancer_that_receives_nothing_reports_its_low_coverage() -> None:
+    """Its own counts alone must not be taken for those of the fleet."""
     simulation = converged_fleet()
     simulation.add_fault(0, 100 * SECOND, "*", "b4", cut=True)
     simulation.run(100 * SECOND)
@@ -126,6 +132,7 @@
 
 
 def test_stalled_balancers_declare_nobody_dead() -> None:
+    """A process that hung has not read the answers to its probes: they must not count as failed."""
     simulation = converged_fleet(9)
     for index in (0, 3, 6):
         simulation.freeze(index, 20 * SECOND)
@@ -143,6 +150,7 @@
 
 
 def test_half_the_fleet_restarts_with_clocks_an_hour_behind() -> None:
+    """Incarnations come from the clock, so the restarted processes first look like earlier ones."""
     simulation = converged_fleet()
     for index in range(0, SIZE, 2):
         simulation.kill(index)
@@ -175,6 +183,7 @@
 
 
 def test_a_malicious_member_can_not_declare_others_dead() -> None:
+    """A rumour only leads to a probe, and a peer that makes many false claims is ignored."""
     simulation = converged_fleet()
     malicious = MaliciousMember(simulation, 7)
     others = [simulation.member(index) for index in range(7)]
@@ -194,6 +203,7 @@
 
 
 def test_a_liveness_proof_can_not_be_forged() -> None:
+    """Neither an old link of the hash chain nor an invented one revives a dead peer."""
     simulation = converged_fleet()
     malicious = MaliciousMember(simulation, 7)
     observer, victim = simulation.member(0), simulation.member(3)
@@ -221,6 +231,7 @@
 
 
 def test_a_relayed_liveness_proof_refutes_a_suspicion() -> None:
+    """The observer can't reach the suspect, so the proof comes through other peers."""
     simulation = converged_fleet()
     simulation.add_fault(0, 30 * SECOND, "b1", "b2", cut=True)
     simulation.add_fault(0, 30 * SECOND, "b2", "b1", cut=True)
@@ -238,6 +249,7 @@
 
 
 def test_a_used_up_hash_chain_starts_a_new_process(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each refutation takes a link; after the last one the peers admit the balancer as after a restart."""
     monkeypatch.setattr(membership, "CHAIN_LENGTH", 2)
     simulation = converged_fleet()
     first = simulation.member(3).incarnation // PROCESS_SPAN
@@ -266,6 +278,7 @@
 
 
 def test_counts_of_another_balancer_can_not_be_forged() -> None:
+    """Counts are stored only if the token shows that they come from the balancer they describe."""
     simulation = converged_fleet()
     malicious = MaliciousMember(simulation, 7)
     for _ in range(50):
@@ -293,6 +306,7 @@
 
 
 def test_replayed_datagrams_and_outdated_counts_are_dropped() -> None:
+    """A recorded datagram that is sent again must neither restore old counts nor show a peer as alive."""
     simulation = converged_fleet()
     observer, sender = simulation.member(0), simulation.member(1)
     outdated = SessionCounts(version=1, by_kind=[("full", 77)])
@@ -322,6 +336,7 @@
 
 
 def test_thousands_of_claimed_senders_take_bounded_memory() -> None:
+    """Pings with new names and addresses, as anybody with the key can send, fill no table over its limit."""
     simulation = converged_fleet(peers_most=20)
     member = simulation.member(0)
     codec = DatagramCodec("lab", list(KEYS))
@@ -346,6 +361,7 @@
 
 
 def test_of_two_balancers_with_one_name_the_first_is_kept() -> None:
+    """The peers keep the first; a peer logs the conflict, and so does one of the two balancers."""
     simulation = converged_fleet()
     second = simulation.start("b2", peer_address(50))
     simulation.run(20 * SECOND)
@@ -365,6 +381,7 @@
 
 
 def test_keys_are_rotated_at_run_time() -> None:
+    """Balancers get new keys one at a time; at each step, all have the key with which any signs."""
     simulation = converged_fleet()
     new = b"n" * 16
     for keys in ([KEYS[0], new], [new, KEYS[0]], [new]):
--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -68,9 +68,9 @@
 ) -> None:
     assert old in PEERS
     (folder / "peers.toml").write_text(PEERS.replace(old, new))
-    ended = run_thymedeck(folder, "check")
-    assert ended.returncode == 2 and ended.stderr.count("\n") == 1
-    assert expected in ended.stderr and str(folder) in ended.stderr
+    result = run_thymedeck(folder, "check")
+    assert result.returncode == 2 and result.stderr.count("\n") == 1
+    assert expected in result.stderr and str(folder) in result.stderr
 
 
 @pytest.mark.parametrize(
@@ -83,17 +83,17 @@
 def test_unusable_keys_are_refused_and_never_shown(folder: Path, keys: str, mode: int, expected: str) -> None:
     (folder / "peers.key").write_text(keys)
     (folder / "peers.key").chmod(mode)
-    ended = run_thymedeck(folder, "serve")
-    assert ended.returncode == 2 and expected in ended.stderr and ended.stderr.count("\n") == 1
-    assert KEY not in ended.stderr + ended.stdout
+    result = run_thymedeck(folder, "serve")
+    assert result.returncode == 2 and expected in result.stderr and result.stderr.count("\n") == 1
+    assert KEY not in result.stderr + result.stdout
 
 
 def test_peers_are_refused_where_the_deployment_forbids_them(folder: Path) -> None:
     config = json.loads((folder / "b.json").read_text())
     config["settings"]["limits"] = config["settings"]["limits"] | {"peers": False}
     (folder / "b.json").write_text(json.dumps(config))
-    ended = run_thymedeck(folder, "serve")
-    assert ended.returncode == 2 and "forbid peers" in ended.stderr and ended.stderr.count("\n") == 1
+    result = run_thymedeck(folder, "serve")
+    assert result.returncode == 2 and "forbid peers" in result.stderr and result.stderr.count("\n") == 1
 
 
 def test_the_example_file_is_valid_and_shows_the_defaults(folder: Path) -> None:
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -53,6 +53,7 @@
 
 
 def test_hostile_peer_then_key_rotation_then_duplicate_name() -> None:
+    """Forged rumours and counts, random datagrams, new keys and a second b2: no peer is declared dead."""
     with ProcessTestbed(1, deployment_settings(8, ["m1"], ["a"]), {}) as testbed:
         names = testbed.start_fleet(8)
         fake_peer = FakePeer(testbed, "g0")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""A small part of the sweeps: costs as counts and how they grow with size, never as times."""
+"""A small part of the sweeps: costs as counts and how they grow with size, never as times, which vary."""
 
 import argparse
 from pathlib import Path
@@ -60,6 +60,7 @@
 
 
 def test_counting_does_not_change_what_peers_send() -> None:
+    """The counting codec must leave the datagrams and their times as they are without it."""
     counting, plain = control.CountingSimulation(8, 3), MembershipSimulation(8, 3)
     for simulation in (counting, plain):
         simulation.run(100_000)
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -199,8 +199,8 @@
         simulation.run(SECOND)
         simulation.take_peak_bytes()
         known_fraction = 1 - count_pairs_across(simulation, cut_off) / pairs
-        for index, wanted in enumerate(KNOWN_FRACTIONS):
-            if detected[index] < 0 and known_fraction >= wanted:
+        for index, fraction in enumerate(KNOWN_FRACTIONS):
+            if detected[index] < 0 and known_fraction >= fraction:
                 detected[index] = second + 1.0
     region_cut.is_active = False
     cpu_before, since = simulation.cpu_seconds, simulation.now
--- a/thymedeck/peers/membership.py
+++ b/thymedeck/peers/membership.py
@@ -794,7 +794,7 @@
             self.probing[peer.name] = peer
 
     def gossip_rounds(self) -> int:
-        """Rounds until a rumour has reached the whole fleet, if each that has it tells one per round."""
+        """Rounds until a rumour has reached the whole fleet, if each holder tells one peer per round."""
         return ceil(log2(2 + len(self.peers)))
 
     def suspicion_timeout(self) -> int:
