--- a/thymedeck/lab/__main__.py
+++ b/thymedeck/lab/__main__.py
@@ -97,7 +97,7 @@
         + "|"
     )
     for size in sizes:
-        figures = membership_simulation.measure(
+        figures = membership_simulation.measure_membership(
             size, seed, round(quiet * membership_simulation.SECOND), acquainted
         )
         print("| " + " | ".join(membership_simulation.format_row(figures)) + " |", flush=True)
--- a/thymedeck/lab/cold.py
+++ b/thymedeck/lab/cold.py
@@ -268,7 +268,7 @@
 )  # fmt: skip
 
 
-def measure(case: Case, rounds: int, seed: int, jobs: int) -> list[str]:
+def measure_case(case: Case, rounds: int, seed: int, jobs: int) -> list[str]:
     """The values of COLUMNS for one case, over `rounds` warm-ups in `jobs` processes."""
     with ProcessPoolExecutor(jobs) as pool:
         results = list(
@@ -329,7 +329,7 @@
             arguments.rate,
             arguments.promised,
         )
-        row = measure(case, arguments.rounds, arguments.seed, arguments.jobs)
+        row = measure_case(case, arguments.rounds, arguments.seed, arguments.jobs)
         print("| " + " | ".join(row) + " |", flush=True)
         has_failure = has_failure or row[COLUMNS.index("fell")] != "0"
     return int(has_failure)
--- a/thymedeck/lab/membership_simulation.py
+++ b/thymedeck/lab/membership_simulation.py
@@ -317,7 +317,7 @@
     ]
 
 
-def measure(balancers: int, seed: int, quiet: int, acquainted: bool = False) -> Measurements:
+def measure_membership(balancers: int, seed: int, quiet: int, acquainted: bool = False) -> Measurements:
     """`quiet`: how long each of the three loss rates runs; `acquainted`: all know each other at the start."""
     simulation = MembershipSimulation(balancers, seed)
     if acquainted:
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -287,7 +287,7 @@
         tally = monitor.tally
     with ProcessTestbed(seed, deployment, None) as testbed:
         core -= mean_core_usage(testbed, testbed.start_fleet(balancers), quiet)
-    return format_row(tally, balancers, quiet, core)
+    return traffic_row(tally, balancers, quiet, core)
 
 
 def mean_core_usage(testbed: ProcessTestbed, names: list[str], quiet: int) -> float:
@@ -305,12 +305,12 @@
     cpu_before = simulation.cpu_seconds
     simulation.tally.take()
     simulation.run(quiet * SECOND)
-    return format_row(
+    return traffic_row(
         simulation.tally, balancers, quiet, (simulation.cpu_seconds - cpu_before) / balancers / quiet
     )
 
 
-def format_row(tally: MessageTally, balancers: int, quiet: int, core: float) -> dict:
+def traffic_row(tally: MessageTally, balancers: int, quiet: int, core: float) -> dict:
     balancer_seconds = balancers * quiet
     return {
         **{kind: f"{tally.count[kind] / balancer_seconds:.3f}" for kind in MESSAGE_KINDS},
