--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -49,13 +49,13 @@
 
     def tick(self) -> None:
         self.loop.after(TICK, self.tick)
-        self.carry_out(self.membership.handle(self.loop.now(), Tick()))
+        self.perform_all(self.membership.handle(self.loop.now(), Tick()))
 
     def update_counts(self) -> None:
         self.loop.after(SECOND, self.update_counts)
-        self.carry_out(self.membership.handle(self.loop.now(), CountsUpdated(self.sessions.update())))
+        self.perform_all(self.membership.handle(self.loop.now(), CountsUpdated(self.sessions.update())))
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def perform_all(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 with contextlib.suppress(OSError):
@@ -71,7 +71,7 @@
                 message = self.codec.open(data)
                 if message.name in self.daemon_names:
                     self.tally.add(message, len(data))
-                self.carry_out(self.membership.handle(self.loop.now(), MessageReceived(message, len(data))))
+                self.perform_all(self.membership.handle(self.loop.now(), MessageReceived(message, len(data))))
 
 
 def introduce_all(simulated: list[SimulatedPeer], rng: random.Random, now: int) -> None:
@@ -121,10 +121,10 @@
         begin = time.monotonic()
         memory_before = [daemon.resident_bytes() for daemon in daemons]
         timeout = 60 + balancers
-        while not all(known_peers(daemon) == balancers - 1 for daemon in daemons):
+        while not all(live_peer_count(daemon) == balancers - 1 for daemon in daemons):
             if time.monotonic() - begin > timeout:
                 raise TimeoutError(
-                    f"the daemons know {[known_peers(daemon) for daemon in daemons]} of {balancers - 1} peers"
+                    f"daemons know {[live_peer_count(daemon) for daemon in daemons]} of {balancers - 1} peers"
                 )
             run_loop(loop, 1.0)
         met_seconds = time.monotonic() - begin
@@ -160,8 +160,8 @@
     }  # fmt: skip
 
 
-def known_peers(daemon: Daemon) -> int:
-    """The number of peers that are here according to the last such line of the daemon's log."""
+def live_peer_count(daemon: Daemon) -> int:
+    """Returns how many live peers the daemon's log last reported."""
     for entry in reversed(daemon.events("peers")):
         if entry["text"].startswith("peers: "):
             return int(entry["text"].split()[1])
--- a/thymedeck/lab/testbed.py
+++ b/thymedeck/lab/testbed.py
@@ -188,7 +188,7 @@
             self.list_service.listen_for(name, ("10.2.0.1", port))
         return "10.2.0.1", port
 
-    def peers_settings(self, name: str) -> PeerSettings:
+    def peer_settings_for(self, name: str) -> PeerSettings:
         address = (self.host_of(name), 7946)
         join = tuple(f"{self.host_of(f'b{index}')}:7946" for index in range(3))
         own = {"listen": address, "advertise": format_address(address), "keys": (bytes.fromhex(SHARED_KEY),)}
@@ -206,7 +206,7 @@
         self.network.loops.append(service.loop)
         if self.peers_options is not None:
             self.transports[name] = PeerTransport(
-                service, self.peers_settings(name), machine, name, start.seed
+                service, self.peer_settings_for(name), machine, name, start.seed
             )
         self.alive.add(name)
         self.record.note("started", balancer=name)
