--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,7 @@
     DEPLOYMENT,
     START_TIME,
     Case,
-    Fleet,
+    WarmUpFleet,
     failure_bounds,
     probability_of_at_least,
     run_warm_up,
@@ -16,7 +16,7 @@
 from thymedeck.policy import admission_probability
 
 
-class ShareCheckingFleet(Fleet):
+class ShareCheckingFleet(WarmUpFleet):
     """Records by how much a balancer exceeds its own share of the budget of a cold server."""
 
     max_excess = 0  # sessions of one balancer in a window, less its share at that time
@@ -46,6 +46,7 @@
     ids=str,
 )
 def test_fewer_than_one_warm_up_in_ten_thousand_fails(case: Case) -> None:
+    """By the exact upper bounds, as simulation would take far too many warm-ups to show so rare a failure."""
     dense, simultaneous = failure_bounds(case, 1)
     assert dense < 1e-4
     assert simultaneous < 1e-4
@@ -57,6 +58,7 @@
     ids=str,
 )
 def test_no_cold_server_fails(case: Case) -> None:
+    """Nor does any balancer send more sessions than its own share of the budget."""
     for seed in range(4):
         fleet = ShareCheckingFleet(case, seed)
         assert fleet.run().failed == 0
@@ -67,7 +69,7 @@
     """With many more dials than draws, the sessions sent match the expected value of the draws."""
     rounds, expected, sent = 10, 0.0, 0
     for seed in range(rounds):
-        fleet = Fleet(Case(30, 20, arrivals_per_second=120.0), seed)
+        fleet = WarmUpFleet(Case(30, 20, arrivals_per_second=120.0), seed)
         for age in range(0, DEPLOYMENT.warm_after, DEPLOYMENT.warm_after // 20):
             probabilities = sum(
                 admission_probability(share, 30) for share in fleet.budget_shares(START_TIME + age)
--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -8,9 +8,9 @@
 import pytest
 
 from tests.helpers import SETTINGS
-from thymedeck.lab.play import ScenarioRun
 from thymedeck.lab.scenario import read_scenario
-from thymedeck.lab.stage import SECOND, VirtualTestbed
+from thymedeck.lab.scenario_run import ScenarioRun
+from thymedeck.lab.testbed import SECOND, VirtualTestbed
 from thymedeck.peers.settings import load_peer_settings, parse_quantity
 
 ROOT = Path(__file__).parents[1]
@@ -68,9 +68,9 @@
 ) -> None:
     assert old in PEERS
     (folder / "peers.toml").write_text(PEERS.replace(old, new))
-    ended = run_thymedeck(folder, "check")
-    assert ended.returncode == 2 and ended.stderr.count("\n") == 1
-    assert expected in ended.stderr and str(folder) in ended.stderr
+    result = run_thymedeck(folder, "check")
+    assert result.returncode == 2 and result.stderr.count("\n") == 1
+    assert expected in result.stderr and str(folder) in result.stderr
 
 
 @pytest.mark.parametrize(
@@ -83,17 +83,17 @@
 def test_unusable_keys_are_refused_and_never_shown(folder: Path, keys: str, mode: int, expected: str) -> None:
     (folder / "peers.key").write_text(keys)
     (folder / "peers.key").chmod(mode)
-    ended = run_thymedeck(folder, "serve")
-    assert ended.returncode == 2 and expected in ended.stderr and ended.stderr.count("\n") == 1
-    assert KEY not in ended.stderr + ended.stdout
+    result = run_thymedeck(folder, "serve")
+    assert result.returncode == 2 and expected in result.stderr and result.stderr.count("\n") == 1
+    assert KEY not in result.stderr + result.stdout
 
 
 def test_peers_are_refused_where_the_deployment_forbids_them(folder: Path) -> None:
     config = json.loads((folder / "b.json").read_text())
     config["settings"]["limits"] = config["settings"]["limits"] | {"peers": False}
     (folder / "b.json").write_text(json.dumps(config))
-    ended = run_thymedeck(folder, "serve")
-    assert ended.returncode == 2 and "forbid peers" in ended.stderr and ended.stderr.count("\n") == 1
+    result = run_thymedeck(folder, "serve")
+    assert result.returncode == 2 and "forbid peers" in result.stderr and result.stderr.count("\n") == 1
 
 
 def test_the_example_file_is_valid_and_shows_the_defaults(folder: Path) -> None:
@@ -121,9 +121,9 @@
         run = ScenarioRun(scenario, 7, False)
         start, events = run.testbed.start, []
 
-        def start_recorded(name: str, start=start, stage=run.testbed, events=events) -> None:  # noqa: ANN001
+        def start_recorded(name: str, start=start, testbed=run.testbed, events=events) -> None:  # noqa: ANN001
             start(name)
-            balancer = stage.services[name].balancer
+            balancer = testbed.services[name].balancer
             handle = balancer.handle
 
             def handle_recorded(now: int, event: object) -> list:
@@ -136,27 +136,27 @@
         run.testbed.start = start_recorded
         run.run()
         recordings.append((events, run.testbed.record.as_bytes()))
-        assert bool(run.testbed.carriers) is peers
+        assert bool(run.testbed.transports) is peers
     assert len(recordings[0][0]) > 2000
     assert recordings[0] == recordings[1]
 
 
 def test_reading_is_rate_limited_in_a_flood(folder: Path) -> None:
-    """A balancer on the virtual stage reads at most its limit of datagrams a second, plus a small margin."""
-    from thymedeck.lab.play import deployment_settings
-
-    stage = VirtualTestbed(1, deployment_settings(1, ["m1"], ["a"]), {})
-    stage.start("b0")
-    stage.run(SECOND)
-    transport = stage.carriers["b0"]
-    sender = stage.stand_in_machine.datagram(("10.3.0.1", 9))
+    """A balancer in virtual time reads at most its limit of datagrams a second, plus a small margin."""
+    from thymedeck.lab.scenario_run import deployment_settings
+
+    testbed = VirtualTestbed(1, deployment_settings(1, ["m1"], ["a"]), {})
+    testbed.start("b0")
+    testbed.run(SECOND)
+    transport = testbed.transports["b0"]
+    sender = testbed.stand_in_machine.datagram(("10.3.0.1", 9))
     reads = []
     recv = transport.sock.recv
-    transport.sock.recv = lambda size: (reads.append(stage.now()), recv(size))[1]
+    transport.sock.recv = lambda size: (reads.append(testbed.now()), recv(size))[1]
     for _ in range(100):
         for _ in range(200):
             sender.sendto(bytes(100), transport.sock.address)
-        stage.run(SECOND // 20)
-    assert transport.dropped["flood"] or any(e["event"] == "peers_dropped" for e in stage.log("b0"))
-    assert transport.membership.detection_paused_until > stage.loop.now()
+        testbed.run(SECOND // 20)
+    assert transport.dropped["flood"] or any(e["event"] == "peers_dropped" for e in testbed.log("b0"))
+    assert transport.membership.detection_paused_until > testbed.loop.now()
     assert max(sum(at - SECOND < one <= at for one in reads) for at in reads[::50]) <= 500 + 40
--- a/thymedeck/lab/cold.py
+++ b/thymedeck/lab/cold.py
@@ -88,7 +88,7 @@
     sessions of the window before fill the window. The second assumes that all balancers dial at once after a
     window without a dial, at a uniformly distributed time, and at every moment from then on.
     """
-    fleet = Fleet(case, seed)
+    fleet = WarmUpFleet(case, seed)
     window, length = DEPLOYMENT.overload_window, DEPLOYMENT.warm_after
     dense = simultaneous = 0.0
     for step in range(steps):
@@ -135,7 +135,7 @@
     return zip(sorted(times), chosen, strict=True)
 
 
-class Fleet:
+class WarmUpFleet:
     """All balancers of one warm-up, with the sessions that they hold."""
 
     def __init__(self, case: Case, seed: int) -> None:
@@ -262,7 +262,7 @@
 
 
 def run_warm_up(case: Case, seed: int) -> WarmUp:
-    return Fleet(case, seed).run()
+    return WarmUpFleet(case, seed).run()
 
 
 COLUMNS = (
@@ -271,7 +271,7 @@
 )  # fmt: skip
 
 
-def measure(case: Case, rounds: int, seed: int, jobs: int) -> list[str]:
+def measure_case(case: Case, rounds: int, seed: int, jobs: int) -> list[str]:
     """The values of COLUMNS for one case, over `rounds` warm-ups in `jobs` processes."""
     with ProcessPoolExecutor(jobs) as pool:
         results = list(
@@ -332,7 +332,7 @@
             arguments.rate,
             arguments.promised,
         )
-        row = measure(case, arguments.rounds, arguments.seed, arguments.jobs)
+        row = measure_case(case, arguments.rounds, arguments.seed, arguments.jobs)
         print("| " + " | ".join(row) + " |", flush=True)
         has_failure = has_failure or row[COLUMNS.index("fell")] != "0"
     return int(has_failure)
--- a/thymedeck/lab/scale/daemon.py
+++ b/thymedeck/lab/scale/daemon.py
@@ -12,8 +12,8 @@
 
 import orjson
 
-from ..play import deployment_settings
-from ..stage import SHARED_KEY
+from ..scenario_run import deployment_settings
+from ..testbed import SHARED_KEY
 from .process import cpu_seconds, open_descriptors, resident_bytes
 
 READY_TIMEOUT = 60.0
@@ -41,7 +41,7 @@
             "settings": deployment,
             "known": {"version": 1 if servers else -1, "servers": servers},
         }  # fmt: skip
-        config_file = Path(self.folder.name, "told.json")
+        config_file = Path(self.folder.name, "conf.json")
         config_file.write_bytes(orjson.dumps(config))
         command = [sys.executable, "-m", "thymedeck", "serve", "--config", config_file]
         if peers is not None:
--- a/thymedeck/lab/play.py
+++ b/thymedeck/lab/scenario_run.py
@@ -8,10 +8,10 @@
 from ..peers.settings import RATE_UNITS, TIME_UNITS, parse_quantity
 from . import checks
 from .scenario import Scenario, TimedAction
-from .stage import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
 from .standins import ListedServer
+from .testbed import SECOND, BaseTestbed, ProcessTestbed, VirtualTestbed
 
-EFFECTS = {"chat": "repeatable", "once": "once"}
+EFFECTS = {"chat": "repeatable", "once": "once"}  # by class of clients, for `check_effects`
 SETTLE_TIME = 5 * SECOND  # after the scenario's length, so that pending requests are answered
 
 
@@ -166,11 +166,11 @@
             case "silent":
                 server.is_silent = True
             case "lose answers":
-                server.lose_answers = True
+                server.loses_answers = True
             case "reset lines":
-                server.reset_lines = True
+                server.resets_connections = True
             case "well":
-                server.is_silent = server.lose_answers = server.reset_lines = False
+                server.is_silent = server.loses_answers = server.resets_connections = False
 
     # Evaluation
 
@@ -180,7 +180,7 @@
         running = set(self.names) & testbed.alive
         if isinstance(testbed, VirtualTestbed):
             return all(
-                {peer.name for peer in testbed.carriers[name].membership.alive_peers()} == running - {name}
+                {peer.name for peer in testbed.transports[name].membership.alive_peers()} == running - {name}
                 for name in running
             )
         return all(testbed.live_peer_count(name) == len(running) - 1 for name in running)
--- a/thymedeck/lab/standins.py
+++ b/thymedeck/lab/standins.py
@@ -131,7 +131,7 @@
         self.version = 1
         self.servers: dict[str, ListedServer] = {}
         self.changed_in_version: dict[str, int] = {}  # by server: the version of its last change
-        self.free_at = 0
+        self.free_at = 0  # when the queued requests will have been served
         self.is_down = False  # resets each connection
         self.stale_servers: dict[str, ListedServer] | None = None  # sent in place of `servers` if set
         self.sends_malformed_body = False
@@ -270,14 +270,14 @@
         self.started_at = -(1 << 40)
         self.is_draining = False
         self.is_silent = False  # accepts connections and sends nothing
-        self.lose_answers = False  # runs each request but closes the connection without an answer
-        self.reset_lines = False  # resets the connection at its OPEN line
+        self.loses_answers = False  # runs each request but closes the connection without an answer
+        self.resets_connections = False  # resets the connection at its OPEN line
         self.busy_until = 0
         self.connections: dict[ServerConnection, None] = {}
         self.recent_dials: deque[int] = deque()  # times of dials while cold, within the window
         self.budget = 0.0  # more dials than this within `window` while cold make it fail; 0: no limit
         self.window = 2 * SECOND
-        self.cold_for = 0
+        self.cold_for = 0  # counted from `started_at`
         self.has_failed = False
         self.listening_sockets: list[ListeningSocket] = []
 
@@ -334,10 +334,10 @@
                 return
         if self.is_silent:
             return
-        if self.reset_lines:
+        if self.resets_connections:
             self.record_answer(connection, "reset")
             connection.close(reset=True)
-        elif self.lose_answers:
+        elif self.loses_answers:
             self.record_answer(connection, "lost")
             connection.close()
         elif self.is_draining or sum(other.is_up for other in self.connections) >= self.limit:
