--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -42,11 +42,11 @@
 from pathlib import Path
 
 from thymedeck.interface import SessionArrived
+from thymedeck.net.config_file import read_start
 from thymedeck.net.connection import Connection
 from thymedeck.net.ring import Ring
 from thymedeck.net.service import Service
 from thymedeck.net.system import System
-from thymedeck.net.told import read_start
 
 from .helpers import STEP_TIMEOUT_SECONDS, LineConnection, SocketScenario, fnmatch
 
--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -15,10 +15,10 @@
 
 from thymedeck.lab.standins import Door
 from thymedeck.lab.world import Machine, World
+from thymedeck.net.config_file import Start, Told
 from thymedeck.net.connection import Connection
 from thymedeck.net.loop import Loop
 from thymedeck.net.service import Service
-from thymedeck.net.told import Start, Told
 
 from .helpers import SETTINGS
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,8 +9,8 @@
 
 from tests.helpers import DEPLOYMENT, list_only_service
 from thymedeck import interface
+from thymedeck.net.config_file import Listing, Row
 from thymedeck.net.service import Service
-from thymedeck.net.told import Listing, Row
 from thymedeck.policy import Balancer
 
 REPLICAS = 400
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -9,10 +9,10 @@
 
 from tests.helpers import SETTINGS
 from thymedeck.lab.world import BUFFER, Machine, MemorySocket, World
+from thymedeck.net.config_file import Start, Told
 from thymedeck.net.connection import Connection
 from thymedeck.net.loop import READ, Loop
 from thymedeck.net.service import Service
-from thymedeck.net.told import Start, Told
 
 SECOND = 1_000_000_000
 BALANCER, SERVER = ("10.0.0.1", 8000), ("10.1.0.1", 8000)
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -13,8 +13,8 @@
 from thymedeck.lab.stage import SECOND, Processes, Stage, Virtual
 from thymedeck.lab.standins import Listed
 from thymedeck.net.clients import Client
+from thymedeck.net.config_file import Listing
 from thymedeck.net.service import TOLD_AT_ONCE, Service
-from thymedeck.net.told import Listing
 
 SERVERS = 3_200
 FLEET = 200  # balancers that the settings tell of; one of them runs
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from thymedeck.net.notes import Beat, Figures
+from thymedeck.net.load_reports import Beat, Figures
 
 from .helpers import PolicyScenario, SocketScenario
 
--- a/thymedeck/__main__.py
+++ b/thymedeck/__main__.py
@@ -11,9 +11,9 @@
 import os  # noqa: E402
 import sys  # noqa: E402
 
+from .net.config_file import StartError, read_start  # noqa: E402
 from .net.service import Service, Wakeup  # noqa: E402
 from .net.system import System  # noqa: E402
-from .net.told import StartError, read_start  # noqa: E402
 
 VERSION = "0.6.0"
 
--- a/thymedeck/configuration/settings.py
+++ b/thymedeck/configuration/settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..net.told import server_address
+from ..net.config_file import server_address
 from ..peers.stated import TIMES, Unfit, check_least, entry_of, figure, sheet_of
 from .messages import Parameters
 
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -9,9 +9,9 @@
 import random
 import time
 
+from ...net.config_file import server_address
 from ...net.loop import READ, Loop
 from ...net.system import System
-from ...net.told import server_address
 from ...peers.messages import LARGEST, Envelope, Unusable
 from ...peers.node import TICK, Peer, Peers
 from ...peers.words import Action, Came, Counted, Send, Tick
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -18,11 +18,11 @@
 import msgspec
 import orjson
 
+from ..net.config_file import Start, Told, server_address
 from ..net.connection import Connection
 from ..net.loop import READ, Loop
 from ..net.service import Service
 from ..net.system import System
-from ..net.told import Start, Told, server_address
 from ..peers.carrier import Carrier
 from ..peers.messages import LARGEST, VERSION, Envelope, Kind, Message, Unusable, encode
 from ..peers.node import TICK, Peer, Peers
--- a/thymedeck/net/serverlist.py
+++ b/thymedeck/net/serverlist.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from .. import interface
+from .config_file import UNREADABLE, Listing
 from .connection import Connection
 from .loop import Loop
-from .told import UNREADABLE, Listing
 
 if TYPE_CHECKING:
     from .service import Service
--- a/thymedeck/net/servers.py
+++ b/thymedeck/net/servers.py
@@ -6,8 +6,8 @@
 from .connection import Connection
 from .endings import Ending
 from .lines import Garbled, Lines, first_line, readable
+from .load_reports import Beat, Figures
 from .loop import WRITE
-from .notes import Beat, Figures
 
 if TYPE_CHECKING:
     from .clients import Client
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -16,14 +16,7 @@
 from ..policy import Balancer
 from ..settings import MIN_WEIGHT, deployment_from
 from .clients import Client, Door
-from .endings import OUTCOMES, Ending
-from .lines import readable
-from .log import EventLog
-from .loop import KEPT, READ, Loop
-from .serverlist import Follower
-from .servers import Dialled, Known
-from .system import System
-from .told import (
+from .config_file import (
     UNREADABLE,
     Listing,
     Row,
@@ -35,6 +28,13 @@
     server_address,
     usable,
 )
+from .endings import OUTCOMES, Ending
+from .lines import readable
+from .log import EventLog
+from .loop import KEPT, READ, Loop
+from .serverlist import Follower
+from .servers import Dialled, Known
+from .system import System
 
 SECOND = 10_000
 STATES = {
--- a/thymedeck/peers/carrier.py
+++ b/thymedeck/peers/carrier.py
@@ -4,9 +4,9 @@
 from collections import Counter, deque
 from typing import TYPE_CHECKING
 
+from ..net.config_file import server_address
 from ..net.loop import READ
 from ..net.system import System
-from ..net.told import server_address
 from .bounds import Window
 from .ledger import Sum
 from .messages import LARGEST, Counts, Envelope, Unusable, server_key
--- a/thymedeck/peers/start.py
+++ b/thymedeck/peers/start.py
@@ -4,8 +4,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from ..net.config_file import Start, StartError
 from ..net.system import System
-from ..net.told import Start, StartError
 from .carrier import Carrier
 from .messages import is_name
 from .stated import Stated, Unfit, read
--- a/thymedeck/peers/stated.py
+++ b/thymedeck/peers/stated.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..net.told import server_address
+from ..net.config_file import server_address
 from .messages import is_name
 
 TIMES = {"ms": 10, "s": 10_000, "min": 600_000}
--- a/tools/turns.py
+++ b/tools/turns.py
@@ -27,10 +27,10 @@
 sys.path.insert(0, os.getcwd())
 
 from tests.helpers import SETTINGS  # noqa: E402
+from thymedeck.net.config_file import read_start  # noqa: E402
 from thymedeck.net.servers import Dialled  # noqa: E402
 from thymedeck.net.service import Service, Wakeup  # noqa: E402
 from thymedeck.net.system import System  # noqa: E402
-from thymedeck.net.told import read_start  # noqa: E402
 
 HEAD = (
     "| connections | lines/s sent | back | turns | median ms | 99 % | 99.9 % | longest | over 100 ms "
