--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -42,9 +42,9 @@
 from pathlib import Path
 
 from thymedeck.interface import SessionArrived
-from thymedeck.net.config_file import read_start
+from thymedeck.net.config_file import read_startup_config
 from thymedeck.net.connection import Connection
-from thymedeck.net.ring import Ring
+from thymedeck.net.ring import RingBuffer
 from thymedeck.net.service import Service
 from thymedeck.net.system import System
 
@@ -64,17 +64,17 @@
         return sorted(super().select(timeout), key=lambda one: one[0].data is not self.first)
 
 
-class Narrow(Ring):
+class Narrow(RingBuffer):
     """Writes so many bytes of what it holds, then would have to wait once, then all."""
 
     __slots__ = ("left",)
 
-    def empty(self, sock: socket.socket) -> int:
+    def send_to(self, sock: socket.socket) -> int:
         left, self.left = self.left, -1 if not self.left else 0
         if not left:
             raise BlockingIOError
-        sent = sock.send(self.copy(0, self.held if left < 0 else left))
-        self.skip(sent)
+        sent = sock.send(self.peek(0, self.used if left < 0 else left))
+        self.discard(sent)
         return sent
 
 
@@ -129,7 +129,7 @@
             self.go()  # the process has ended
             return
         self.service.loop.after(0, lambda: None)  # so that it waits for nothing
-        self.service.loop.turn()
+        self.service.loop.run_once()
 
     def pump(self, is_so: Callable[[], object], else_say: str) -> None:
         until = time.monotonic() + STEP_TIMEOUT_SECONDS
@@ -164,7 +164,7 @@
 
     def on_first(self, whose: str, name: str = "") -> None:
         peers = self.clients if whose == "client" else self.dials
-        first = self.service.door if whose == "door" else self.ends[id(peers[name])]
+        first = self.service.acceptor if whose == "door" else self.ends[id(peers[name])]
         self.service.loop.selector.first = first
 
     def on_full(self, what: str) -> None:
@@ -199,10 +199,10 @@
 
     def on_start(self) -> None:
         self.configuration_path.write_text(self.configuration_text())
-        self.service = Service(read_start(str(self.configuration_path)), self.system)
+        self.service = Service(read_startup_config(str(self.configuration_path)), self.system)
         self.service.loop.running = True
-        self.service.open()
-        self.address = self.service.door.sock.getsockname()
+        self.service.start_accepting()
+        self.address = self.service.acceptor.sock.getsockname()
 
     def on_stop(self) -> None:
         self.service.stop()
@@ -215,15 +215,15 @@
         self.service.reload()
 
     def on_breaks(self, name: str) -> None:
-        plain = self.service.carry_out
+        plain = self.service.perform
 
         def broken(action: object) -> None:
             if type(action).__name__ == name:
-                self.service.carry_out = plain
+                self.service.perform = plain
                 raise ValueError("broken for the test")
             plain(action)
 
-        self.service.carry_out = broken
+        self.service.perform = broken
 
     def on_thinks(self, span: str) -> None:
         handle = self.service.balancer.handle
@@ -320,7 +320,7 @@
         elif verb == "takes":
             end = self.ends[id(self.dials[name])]
             narrow = Narrow()
-            narrow.put(end.outbound.take())
+            narrow.append(end.outbound.read_all())
             narrow.left = int(text)
             end.outbound = narrow
         elif verb == "stuffs":
@@ -345,7 +345,7 @@
         assert len(socks) > 1 and all(s.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for s in socks)
 
     def on_free(self, count: str) -> None:
-        assert self.service.loop.free >= int(count), self.service.loop.free
+        assert self.service.loop.free_descriptors >= int(count), self.service.loop.free_descriptors
 
     def on_nothing(self, _: str, at: str = "") -> None:
         doors = [door for name, door in self.server_sockets.items() if at in ("", name)]
@@ -376,7 +376,7 @@
 
     def on_list(self, verb: str, text: str = "") -> None:
         if verb == "arrives":
-            self.arrived(self.service.follower.call)
+            self.arrived(self.service.list_client.connection)
         elif verb == "indents":
             version, _, *rows = text.split()
             entries = [self.entry(*row.split(":")) for row in rows]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -68,12 +68,12 @@
 def list_only_service() -> Service:
     """A service that can only process server lists; it records what it logs and tells the policy."""
     service = object.__new__(Service)
-    service.server_index, service.servers, service.untold, service.since_unix = {}, [], {}, 5
+    service.server_index, service.servers, service.pending_updates, service.loop_time_offset = {}, [], {}, 5
     service.zones, service.kinds = {"z": 0}, {"big": 0}
     service.logged_events = []
     service.log = lambda event, **_: service.logged_events.append(event)
     service.policy_events = []
-    service.tell = service.policy_events.append
+    service.handle_event = service.policy_events.append
     return service
 
 
--- a/tests/list_calls.py
+++ b/tests/list_calls.py
@@ -78,7 +78,7 @@
     for name in stage.services:
         address = ("10.2.0.1", 20_000 + int(name[1:]))
         stage.list.open_for(name, address)
-        stage.services[name].follower.turn_to(address)
+        stage.services[name].list_client.switch_to(address)
 
 
 TROUBLES: tuple[Callable[[Virtual], None], ...] = (restarted, reset, down, silent, moved)
@@ -93,7 +93,7 @@
 
     def all_have() -> bool:
         for name, service in stage.services.items():
-            if name not in had and service.follower.version >= wanted:
+            if name not in had and service.list_client.version >= wanted:
                 had[name] = stage.now() - t0
         return len(had) == len(stage.services)
 
--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -15,9 +15,9 @@
 
 from thymedeck.lab.standins import Door
 from thymedeck.lab.world import Machine, World
-from thymedeck.net.config_file import Start, Told
+from thymedeck.net.config_file import BalancerConfig, StartupConfig
 from thymedeck.net.connection import Connection
-from thymedeck.net.loop import Loop
+from thymedeck.net.loop import EventLoop
 from thymedeck.net.service import Service
 
 from .helpers import SETTINGS
@@ -50,21 +50,21 @@
     def __init__(self, play: "Play", sock: object) -> None:
         super().__init__(play.ground, sock)
         self.play = play
-        self.await_more()
+        self.update_events()
 
-    def on_bytes(self, count: int) -> None:
-        asked = self.inbound.take().split(b"\r\n")[0]
+    def on_data(self, count: int) -> None:
+        asked = self.inbound.read_all().split(b"\r\n")[0]
         self.play.called(self, int(asked.partition(b"&wait=")[2].split(b" ")[0] or 0) * 10)
 
-    def on_end(self) -> None:
+    def on_eof(self) -> None:
         self.close()
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         self.close()
 
     def tell(self, data: bytes) -> None:
-        if self.open:
-            self.say(data)
+        if self.is_open:
+            self.write(data)
 
     def answer(self, version: int) -> None:
         body = b'{"version": %d, "full": true, "servers": []}' % version
@@ -72,7 +72,7 @@
 
     def trickle(self) -> None:
         self.tell(b" ")
-        if self.open:
+        if self.is_open:
             self.loop.after(SECOND // 10, self.trickle)
 
 
@@ -92,7 +92,7 @@
         self.asked = self.since = self.silence = self.had = 0
         self.trouble: tuple[str, float] | None = None
         self.doors: dict[tuple[str, int], Door] = {}
-        self.ground = self.turn(Loop(self.fault, 4096, Machine(self.world, LIST[0])))
+        self.ground = self.turn(EventLoop(self.log_exception, 4096, Machine(self.world, LIST[0])))
         self.open_doors()
         env = msgspec.json.decode(msgspec.json.encode(SETTINGS))
         env |= {"discovery": discovery, "replicas_of_me": replicas}
@@ -101,21 +101,21 @@
             "name": "b", "listen": "10.0.0.1:8000", "discovery": "10.2.0.1:8500", "settings": env,
             "known": {"version": 1, "servers": []}, "limits": {"sockets": 256},
         }  # fmt: skip
-        told = msgspec.json.decode(msgspec.json.encode(told), type=Told)
+        told = msgspec.json.decode(msgspec.json.encode(told), type=BalancerConfig)
         self.service: Service | None = None
         with pytest.MonkeyPatch.context() as patch:
             # Calls are heard from the first on, which may go out while the service is made.
             patch.setattr("thymedeck.net.service.EventLog", lambda *_: self)
-            self.service = Service(Start("", told, HERE, LIST, seed), Machine(self.world, HERE[0]))
-        patience = self.service.follower.patience(0)
+            self.service = Service(StartupConfig("", told, HERE, LIST, seed), Machine(self.world, HERE[0]))
+        patience = self.service.list_client.request_timeout(0)
         self.took = min(took, patience * 4 // 5)
-        self.service.listed = self.listed
+        self.service.on_list = self.listed
         self.turn(self.service.loop)
 
-    def fault(self, why: BaseException) -> None:
+    def log_exception(self, why: BaseException) -> None:
         raise why
 
-    def turn(self, loop: Loop) -> Loop:
+    def turn(self, loop: EventLoop) -> EventLoop:
         loop.running = True
         self.world.loops.append(loop)
         return loop
@@ -138,7 +138,7 @@
         self.trouble = self.script[self.asked] if self.asked < len(self.script) else None
         self.asked += 1
         kind = self.trouble[0] if self.trouble else ""
-        is_new = self.service is None or self.service.follower.call.connecting
+        is_new = self.service is None or self.service.list_client.connection.connecting
         if self.trouble:
             self.since = self.world.now()
             self.silence = 0 if is_new else int(more["wait"]) * 10 + SILENCE
@@ -168,7 +168,7 @@
             self.ground.after(well, partial(self.fail, call, kind, wait, well))
 
     def fail(self, call: Answering, kind: str, wait: int, well: int) -> None:
-        if not call.open:
+        if not call.is_open:
             return
         if wait:
             self.since = self.world.now()
@@ -190,8 +190,8 @@
         elif kind == "no http":
             call.tell(b"\0\0\0\r\n\r\n")
         elif kind == "moved":
-            follower = self.service.follower
-            follower.turn_to(MOVED if follower.address == LIST else LIST)
+            follower = self.service.list_client
+            follower.switch_to(MOVED if follower.address == LIST else LIST)
 
     # The bound
 
@@ -200,9 +200,9 @@
         """A silent watch is known a second after its wait: it is in time if the answer takes one."""
         slow = max(self.took - QUICK, 0)
         most = TOLD_WITHIN - SLOWEST
-        if not self.service.site.list_on_request:
+        if not self.service.deployment.list_on_request:
             # What is pushed counts as told while nobody asks: the parts of the grace that a call may take.
-            grace = self.service.site.drain_grace
+            grace = self.service.deployment.drain_grace
             most = min(most, CONNECT_WITHIN + grace // 2 + grace // 4 + LATE)
         return self.since + max(most + self.took, self.silence and self.silence + slow)
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -7,9 +7,9 @@
 
 from tests.helpers import list_only_service
 from thymedeck import interface
-from thymedeck.net.clients import AT_ONCE, Door
-from thymedeck.net.loop import Loop
-from thymedeck.net.serverlist import decode
+from thymedeck.net.clients import ACCEPT_BATCH, Acceptor
+from thymedeck.net.loop import EventLoop
+from thymedeck.net.serverlist import decode_list
 from thymedeck.net.service import Service
 from thymedeck.net.system import System
 
@@ -35,10 +35,10 @@
 def test_one_bad_entry_spoils_neither_the_list_nor_its_server(service: Service, bad: str) -> None:
     """Guards against a list refused whole, and against a server taken to be gone for a slip in its entry."""
     before = '{"version":1,"full":true,"servers":[{"id":"known","addr":"127.0.0.1:7"}]}'
-    service.take_list(decode(before), interface.ListKind.WHOLE)
+    service.apply_list(decode_list(before), interface.ListKind.WHOLE)
     (known,) = (one for event in service.policy_events for one in event.entries)
-    service.take_list(
-        decode(f'{{"version":2,"full":true,"servers":[{bad},{GOOD}]}}'), interface.ListKind.WHOLE
+    service.apply_list(
+        decode_list(f'{{"version":2,"full":true,"servers":[{bad},{GOOD}]}}'), interface.ListKind.WHOLE
     )
     last = {one.server: one for event in service.policy_events for one in event.entries}
     assert last.pop(service.server_index["good"]).state is interface.ServerState.READY
@@ -51,7 +51,7 @@
 def test_a_server_whose_address_is_no_figure_is_passed_over(service: Service, address: str) -> None:
     """Guards against a look-up that stops the loop, or fails in the middle of a dial."""
     text = f'{{"version":1,"full":true,"servers":[{{"id":"a","addr":"{address}"}},{GOOD}]}}'
-    service.take_list(decode(text), interface.ListKind.WHOLE)
+    service.apply_list(decode_list(text), interface.ListKind.WHOLE)
     assert list(service.server_index) == ["good"]
     assert "bad_address" in service.logged_events
 
@@ -59,18 +59,18 @@
 def test_all_that_waits_at_the_door_is_taken_in_before_it_closes() -> None:
     """Guards against resets of those that one turn does not reach, when a balancer is told to stop."""
     service = object.__new__(Service)
-    service.loop = Loop(lambda fault: pytest.fail(str(fault)), 1024, System())
-    service.loose, service.clients, service.connected, service.making_room = {}, {}, {}, False
-    service.last = service.loop.now() + 30_000
+    service.loop = EventLoop(lambda fault: pytest.fail(str(fault)), 1024, System())
+    service.evictable, service.sessions, service.connections, service.is_evicting = {}, {}, {}, False
+    service.stop_deadline = service.loop.now() + 30_000
     service.log = lambda *_, **__: None
-    service.door = Door(service, ("127.0.0.1", 0))
-    count = 2 * AT_ONCE + 1
-    waiting = [socket.create_connection(service.door.sock.getsockname()) for _ in range(count)]
+    service.acceptor = Acceptor(service, ("127.0.0.1", 0))
+    count = 2 * ACCEPT_BATCH + 1
+    waiting = [socket.create_connection(service.acceptor.sock.getsockname()) for _ in range(count)]
     try:
-        service.leave()
-        assert len(service.loose) == count
+        service.stop_accepting()
+        assert len(service.evictable) == count
     finally:
-        for client in list(service.loose):
+        for client in list(service.evictable):
             client.close()
         for sock in waiting:
             sock.close()
@@ -78,7 +78,7 @@
 
 def test_a_list_with_nothing_new_is_told_too(service: Service) -> None:
     """Guards against a list that stays lost to the decisions when it is back with nothing new."""
-    listing = decode(f'{{"version":1,"full":true,"servers":[{GOOD}]}}')
+    listing = decode_list(f'{{"version":1,"full":true,"servers":[{GOOD}]}}')
     for _ in range(2):
-        service.take_list(listing, interface.ListKind.WHOLE)
+        service.apply_list(listing, interface.ListKind.WHOLE)
     assert [len(event.entries) for event in service.policy_events] == [1, 0]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 
 from tests.helpers import DEPLOYMENT, list_only_service
 from thymedeck import interface
-from thymedeck.net.config_file import Listing, Row
+from thymedeck.net.config_file import ListedServer, ServerList
 from thymedeck.net.service import Service
 from thymedeck.policy import Balancer
 
@@ -87,7 +87,7 @@
     for seed in range(40):
         service = object.__new__(Service)
         service.loop, service.uniform = Clock(), random.Random(seed).uniform
-        service.move_within(10_000, [Standing(), Standing()])
+        service.move_spread(10_000, [Standing(), Standing()])
         early, late = service.loop.waits
         assert 0 <= early <= 5_000 <= late <= 10_000
         first.append(early)
@@ -120,9 +120,9 @@
     """Guards against dials to where it was, and against taking a cold server for the warm one it was."""
     service = list_only_service()
     for address, started_ms in (("127.0.0.1:1", 0), ("127.0.0.2:2", 700), ("nowhere", 900)):
-        row = Row(id="s", addr=address, zone="z", kind="big", started_ms=started_ms)
+        row = ListedServer(id="s", addr=address, zone="z", kind="big", started_ms=started_ms)
         raw = msgspec.Raw(msgspec.json.encode(row))
-        service.take_list(Listing(version=1, full=True, servers=[raw]), interface.ListKind.WHOLE)
+        service.apply_list(ServerList(version=1, full=True, servers=[raw]), interface.ListKind.WHOLE)
     assert [known.address for known in service.servers] == [("127.0.0.2", 2)]
     assert [one.entries[0].started for one in service.policy_events] == [0, 7_005, 9_005]
     assert {one.entries[0].kind for one in service.policy_events} == {0}
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -9,9 +9,9 @@
 
 from tests.helpers import SETTINGS
 from thymedeck.lab.world import BUFFER, Machine, MemorySocket, World
-from thymedeck.net.config_file import Start, Told
+from thymedeck.net.config_file import BalancerConfig, StartupConfig
 from thymedeck.net.connection import Connection
-from thymedeck.net.loop import READ, Loop
+from thymedeck.net.loop import READ, EventLoop
 from thymedeck.net.service import Service
 
 SECOND = 1_000_000_000
@@ -21,37 +21,37 @@
 class Answering(Connection):
     """A server's end: takes the session, then sends every line back."""
 
-    def on_bytes(self, count: int) -> None:
-        data = self.inbound.take()
-        self.say(b"UP receipt\r\n" if data.startswith(b"OPEN ") else data)
+    def on_data(self, count: int) -> None:
+        data = self.inbound.read_all()
+        self.write(b"UP receipt\r\n" if data.startswith(b"OPEN ") else data)
 
 
 class Calling(Connection):
     """A client's end; keeps what it is told."""
 
-    def __init__(self, loop: Loop, sock: MemorySocket, ident: bytes) -> None:
+    def __init__(self, loop: EventLoop, sock: MemorySocket, ident: bytes) -> None:
         super().__init__(loop, sock)
         self.heard = b""
-        self.outbound.put(b"OPEN %s key c=chat,d=2000\r\n" % ident)
+        self.outbound.append(b"OPEN %s key c=chat,d=2000\r\n" % ident)
         self.connect(BALANCER)
-        self.await_more()
+        self.update_events()
 
-    def on_bytes(self, count: int) -> None:
-        self.heard += self.inbound.take()
+    def on_data(self, count: int) -> None:
+        self.heard += self.inbound.read_all()
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         self.heard += b"<broken>"
         self.close()
 
 
 class Door:
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
         self.sock = loop.system.listen(SERVER, 16)
         loop.watch(self.sock, 0, READ, self)
 
-    def ready(self, mask: int) -> None:
-        Answering(self.loop, self.sock.accept()[0]).await_more()
+    def on_ready(self, mask: int) -> None:
+        Answering(self.loop, self.sock.accept()[0]).update_events()
 
 
 class Play:
@@ -65,19 +65,23 @@
             "limits": {"sockets": 256},
         }  # fmt: skip
         self.machine = Machine(self.world, BALANCER[0])
-        start = Start(
-            "", msgspec.json.decode(msgspec.json.encode(told), type=Told), BALANCER, ("10.2.0.1", 8500), seed
+        start = StartupConfig(
+            "",
+            msgspec.json.decode(msgspec.json.encode(told), type=BalancerConfig),
+            BALANCER,
+            ("10.2.0.1", 8500),
+            seed,
         )
         self.service = Service(start, self.machine)
-        self.service.open()
+        self.service.start_accepting()
         Door(self.loop("10.1.0.1"))
         self.outside = self.loop("10.9.0.1")
         self.add(self.service.loop)
 
-    def loop(self, host: str) -> Loop:
-        return self.add(Loop(self.fault, 4096, Machine(self.world, host)))
+    def loop(self, host: str) -> EventLoop:
+        return self.add(EventLoop(self.fault, 4096, Machine(self.world, host)))
 
-    def add(self, loop: Loop) -> Loop:
+    def add(self, loop: EventLoop) -> EventLoop:
         loop.running = True
         self.world.loops.append(loop)
         return loop
@@ -98,7 +102,7 @@
     client = play.call(b"a1")
     play.world.run(SECOND)
     assert client.heard == b"UP receipt\r\n"
-    client.say(b"hello\r\n")
+    client.write(b"hello\r\n")
     play.world.run(SECOND)
     assert client.heard == b"UP receipt\r\nhello\r\n"
     (up,) = play.events("up")
@@ -110,7 +114,7 @@
     client = play.call(b"a1")
     play.world.run(SECOND)
     play.world.cut.add(SERVER[0])
-    client.say(b"hello\r\n")
+    client.write(b"hello\r\n")
     play.world.run(2 * SECOND)
     assert client.heard == b"UP receipt\r\n"
     play.world.run(2 * SECOND)
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -13,8 +13,8 @@
 from thymedeck.lab.stage import SECOND, Processes, Stage, Virtual
 from thymedeck.lab.standins import Listed
 from thymedeck.net.clients import Client
-from thymedeck.net.config_file import Listing
-from thymedeck.net.service import TOLD_AT_ONCE, Service
+from thymedeck.net.config_file import ServerList
+from thymedeck.net.service import LIST_BATCH, Service
 
 SERVERS = 3_200
 FLEET = 200  # balancers that the settings tell of; one of them runs
@@ -144,20 +144,20 @@
     return lines_run(lambda: [service.balancer.handle(now, one) for one in came[1:]])
 
 
-def listing(version: int, states: dict[int, str], full: bool = False) -> Listing:
+def listing(version: int, states: dict[int, str], full: bool = False) -> ServerList:
     rows = [{"id": f"s{at}", "state": state, "addr": "10.9.9.9:8000"} for at, state in states.items()]
-    return Listing(version, full, [msgspec.Raw(msgspec.json.encode(row)) for row in rows])
+    return ServerList(version, full, [msgspec.Raw(msgspec.json.encode(row)) for row in rows])
 
 
 def change(service: Service) -> int:
     drained = listing(2, dict.fromkeys(range(CHANGED), "DRAINING"))
-    return lines_run(lambda: service.listed(drained))
+    return lines_run(lambda: service.on_list(drained))
 
 
 # Guards against work that grows with the list of servers where a decision or a look has to be made in time.
 @pytest.mark.parametrize(
     "work",
-    [place, change, lambda service: lines_run(service.look_round)],
+    [place, change, lambda service: lines_run(service.check_servers)],
     ids=["placements", "change of the list", "look at what stands"],
 )
 def test_work_does_not_grow_with_the_list(work: Callable[[Service], int]) -> None:
@@ -178,7 +178,7 @@
     balancer.handle = noted
     drained = range(1, SERVERS, 2)
     states = dict.fromkeys(range(SERVERS), "SERVING") | dict.fromkeys(drained, "DRAINING")
-    service.listed(listing(2, states, full=True))
+    service.on_list(listing(2, states, full=True))
     assert [at for at, _ in told[0]] == list(drained)
     assert balancer.most_listed == SERVERS
     assert {balancer.servers[at].state for at in drained} == {interface.ServerState.DRAINING}
@@ -186,11 +186,11 @@
     late, gone = SERVERS - 2, SERVERS - 4
     states[late] = "DRAINING"
     del states[gone]
-    service.listed(listing(3, states, full=True))
-    while service.untold:
+    service.on_list(listing(3, states, full=True))
+    while service.pending_updates:
         before = len(told)
-        service.tell_some()
-        assert all(len(part) <= TOLD_AT_ONCE for part in told[before:])
+        service.deliver_batch()
+        assert all(len(part) <= LIST_BATCH for part in told[before:])
     assert balancer.servers[late].state is interface.ServerState.DRAINING
     assert balancer.servers[gone].state is interface.ServerState.GONE
     ready = {one.index for one in balancer.candidates.ready}
@@ -200,17 +200,17 @@
 # Guards against a budget of cold servers that is taken from the first part of a list that is new.
 def test_all_that_a_new_list_names_counts_from_its_first_part_on() -> None:
     service = holding(0)
-    service.listed(listing(2, dict.fromkeys(range(SERVERS), "SERVING")))
-    assert service.untold
+    service.on_list(listing(2, dict.fromkeys(range(SERVERS), "SERVING")))
+    assert service.pending_updates
     assert service.balancer.most_listed == SERVERS
 
 
 def test_a_session_that_stood_on_a_server_not_told_yet_goes_there() -> None:
     service = holding(USUAL)
-    states = dict.fromkeys(range(USUAL, USUAL + 2 * TOLD_AT_ONCE), "SERVING")
-    service.listed(listing(2, states))
-    last = USUAL + 2 * TOLD_AT_ONCE - 1
-    assert last in service.untold and last not in service.balancer.servers
+    states = dict.fromkeys(range(USUAL, USUAL + 2 * LIST_BATCH), "SERVING")
+    service.on_list(listing(2, states))
+    last = USUAL + 2 * LIST_BATCH - 1
+    assert last in service.pending_updates and last not in service.balancer.servers
     client = Client(service, service.loop.system.stream())
-    service.opened(client, b"OPEN id1 key1 c=chat,d=1000,at=s%d" % last)
-    assert client.fixed == last and last in service.balancer.servers
+    service.on_open_line(client, b"OPEN id1 key1 c=chat,d=1000,at=s%d" % last)
+    assert client.restored_server == last and last in service.balancer.servers
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from thymedeck.net.load_reports import Beat, Figures
+from thymedeck.net.load_reports import DelaySchedule, SessionLoads
 
 from .helpers import PolicyScenario, SocketScenario
 
@@ -23,11 +23,11 @@
 
 def test_notes_are_told_apart() -> None:
     """The lines of a file: time, connection, and whether its line is a load or a message's time."""
-    beat, told = Beat(), {}
+    schedule, loads_by_connection = DelaySchedule(), {}
     for line in (FOLDER / "told" / "notes_on_the_beat.txt").read_text().splitlines():
         if words := line.split("#")[0].split():
-            now, figures = int(words[0]), told.setdefault(words[1], Figures())
-            kind = "delay" if beat.is_on(now, figures) else "load"
+            now, loads = int(words[0]), loads_by_connection.setdefault(words[1], SessionLoads())
+            kind = "delay" if schedule.is_delay_report(now, loads) else "load"
             if kind == "load":
-                figures.take(now, float(now))
+                loads.record(now, float(now))
             assert kind == words[2], line
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,8 +14,8 @@
 import pytest
 
 from tests.helpers import SETTINGS
-from thymedeck.net.loop import Loop
-from thymedeck.net.service import Wakeup
+from thymedeck.net.loop import EventLoop
+from thymedeck.net.service import SignalReceiver
 from thymedeck.net.system import System
 
 HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
@@ -25,7 +25,7 @@
     """Stands in for the service that a signal is to reach."""
 
     def __init__(self) -> None:
-        self.loop = Loop(lambda fault: pytest.fail(str(fault)), 64, System())
+        self.loop = EventLoop(lambda fault: pytest.fail(str(fault)), 64, System())
         self.heard: list[str] = []
 
     def reload(self) -> None:
@@ -39,15 +39,15 @@
 def signals_heard() -> Iterator[Hearing]:
     before = {which: signal.getsignal(which) for which in HANDLED}
     hearing = Hearing()
-    wakeup = Wakeup()
+    receiver = SignalReceiver()
     try:
-        wakeup.wake(hearing)
+        receiver.attach(hearing)
         yield hearing
     finally:
         os.close(signal.set_wakeup_fd(-1))
         for which, handler in before.items():
             signal.signal(which, handler)
-        os.close(wakeup.pipe)
+        os.close(receiver.read_end)
 
 
 def hear_both(hearing: Hearing) -> None:
@@ -55,7 +55,7 @@
         signal.raise_signal(which)
         hearing.loop.after(50_000, lambda: pytest.fail("the loop slept through a signal"))
         while not hearing.heard:
-            hearing.loop.turn()
+            hearing.loop.run_once()
         assert hearing.heard.pop() == heard
 
 
@@ -133,13 +133,13 @@
 
 def test_a_fault_in_a_reload_does_not_lose_the_stop_that_came_with_it() -> None:
     with signals_heard() as hearing:
-        hearing.loop.on_fault = lambda fault: hearing.heard.append(str(fault))
+        hearing.loop.on_exception = lambda fault: hearing.heard.append(str(fault))
         hearing.reload = lambda: 1 / 0
         hearing.loop.after(20_000, lambda: pytest.fail("the stop was lost"))
         signal.raise_signal(signal.SIGHUP)
         signal.raise_signal(signal.SIGTERM)
         while len(hearing.heard) < 2:
-            hearing.loop.turn()
+            hearing.loop.run_once()
         assert hearing.heard == ["division by zero", "stop"]
 
 
@@ -174,13 +174,13 @@
 def test_after_standing_still_what_waits_is_read_before_timers_and_the_list_first() -> None:
     """Else an answer that has come is taken for missing, and sessions are sent by the old list."""
     now, order = [1_000], []
-    session = SimpleNamespace(ready=lambda mask: order.append("session"))
-    news = SimpleNamespace(ready=lambda mask: order.append("list"))
+    session = SimpleNamespace(on_ready=lambda mask: order.append("session"))
+    news = SimpleNamespace(on_ready=lambda mask: order.append("list"))
     system = SimpleNamespace(
         monotonic_ns=lambda: now[0] * 100_000, selector=lambda: WokenSelector(now, [session, news])
     )
-    loop = Loop(lambda fault: pytest.fail(str(fault)), 64, system)
-    loop.first = news
+    loop = EventLoop(lambda fault: pytest.fail(str(fault)), 64, system)
+    loop.priority_handler = news
     loop.after(20_000, lambda: order.append("timer"))
-    loop.turn()
+    loop.run_once()
     assert order == ["list", "session", "timer"]
--- a/thymedeck/__main__.py
+++ b/thymedeck/__main__.py
@@ -11,8 +11,8 @@
 import os  # noqa: E402
 import sys  # noqa: E402
 
-from .net.config_file import StartError, read_start  # noqa: E402
-from .net.service import Service, Wakeup  # noqa: E402
+from .net.config_file import StartError, read_startup_config  # noqa: E402
+from .net.service import Service, SignalReceiver  # noqa: E402
 from .net.system import System  # noqa: E402
 
 VERSION = "0.6.0"
@@ -36,22 +36,22 @@
     try:
         if not given.config:
             raise StartError("no configuration: name its file with --config or LB_CONFIG")
-        wakeup = Wakeup() if given.command == "serve" else None
+        signals = SignalReceiver() if given.command == "serve" else None
         signal.pthread_sigmask(signal.SIG_UNBLOCK, HEARD)
-        start = read_start(given.config)
+        start = read_startup_config(given.config)
         join = None
         if given.peers:
             from .peers.start import prepared
 
             join = prepared(given.peers, start)
-        if wakeup is None:
+        if signals is None:
             print(f"{given.config}: ok, {len(start.told.settings.listeners)} listeners")
             return 0
         system = System()
         service = Service(start, system)
         if join:
             join(service, system)
-        service.serve(wakeup)
+        service.serve(signals)
     except StartError as why:
         print(f"thymedeck: {why}", file=sys.stderr)
         return 2
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -10,7 +10,7 @@
 import time
 
 from ...net.config_file import server_address
-from ...net.loop import READ, Loop
+from ...net.loop import READ, EventLoop
 from ...net.system import System
 from ...peers.messages import LARGEST, Envelope, Unusable
 from ...peers.node import TICK, Peer, Peers
@@ -29,7 +29,7 @@
     """One hollow peer with a socket of its own."""
 
     def __init__(
-        self, loop: Loop, name: str, address: tuple[str, int], chance: random.Random, size: int
+        self, loop: EventLoop, name: str, address: tuple[str, int], chance: random.Random, size: int
     ) -> None:
         self.loop = loop
         self.sock = loop.system.datagram(address)
@@ -60,7 +60,7 @@
                 with contextlib.suppress(OSError):
                     self.sock.sendto(self.envelope.close(one.message), server_address(one.address))
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         while True:
             try:
                 data = self.sock.recv(LARGEST + 1)
@@ -89,7 +89,7 @@
 def fleet(balancers: int, real: int, seed: int) -> dict:
     """`real` of them are daemons. Raises TimeoutError where they don't meet all within some minutes."""
     chance = random.Random(seed)
-    loop = Loop(fail, 1 << 20, System())
+    loop = EventLoop(fail, 1 << 20, System())
     host = f"127.{os.getpid() % 250 + 1}.{chance.randrange(256)}.{chance.randrange(1, 255)}"
     members = [
         Member(loop, f"h{at}", (host, 20_000 + at), chance, balancers) for at in range(balancers - real)
@@ -148,11 +148,11 @@
     return 0
 
 
-def turn(loop: Loop, seconds: float) -> None:
+def turn(loop: EventLoop, seconds: float) -> None:
     end = loop.now() + int(seconds * SECOND)
     due = loop.after(int(seconds * SECOND), lambda: None)
     while loop.now() < end:
-        loop.turn()
+        loop.run_once()
     due.cancel()
 
 
--- a/thymedeck/lab/stage.py
+++ b/thymedeck/lab/stage.py
@@ -18,9 +18,9 @@
 import msgspec
 import orjson
 
-from ..net.config_file import Start, Told, server_address
+from ..net.config_file import BalancerConfig, StartupConfig, server_address
 from ..net.connection import Connection
-from ..net.loop import READ, Loop
+from ..net.loop import READ, EventLoop
 from ..net.service import Service
 from ..net.system import System
 from ..peers.carrier import Carrier
@@ -45,7 +45,7 @@
 class Stage:
     """What both worlds share. `settings` is the deployment's object as a balancer is told it."""
 
-    def __init__(self, loop: Loop, seed: int, settings: dict, peers: dict | None) -> None:
+    def __init__(self, loop: EventLoop, seed: int, settings: dict, peers: dict | None) -> None:
         self.loop = loop
         self.begin = loop.now()
         self.record = Record(lambda: loop.now() - self.begin)
@@ -128,7 +128,7 @@
         self.world = World(delay_ns=delay * 100_000)
         self.chance = random.Random(seed)
         self.ground = Machine(self.world, "10.2.0.1")  # of all stand-ins, under several hosts
-        loop = Loop(self.fault, 1 << 24, self.ground)
+        loop = EventLoop(self.fault, 1 << 24, self.ground)
         loop.running = True
         self.world.loops.append(loop)
         super().__init__(loop, seed, settings, peers)
@@ -179,11 +179,11 @@
     def start(self, name: str) -> None:
         machine = self.machines[name] = Machine(self.world, self.host(name))
         config = orjson.dumps(self.config(name, self.chance.getrandbits(60)))
-        told = msgspec.json.decode(config, type=Told)
+        told = msgspec.json.decode(config, type=BalancerConfig)
         here, there = self.listen_at(name), self.list_at(name)
-        start = Start("none", told, here, there, int(told.seed, 16))
+        start = StartupConfig("none", told, here, there, int(told.seed, 16))
         service = self.services[name] = Service(start, machine)
-        service.open()
+        service.start_accepting()
         service.loop.running = True
         self.world.loops.append(service.loop)
         if self.peers is not None:
@@ -245,10 +245,10 @@
         self.held: deque[tuple[int, bytes]] = deque()  # b"" is the end of the sending
         self.due_out = False
 
-    def on_bytes(self, count: int) -> None:
-        self.hold(self.inbound.take())
+    def on_data(self, count: int) -> None:
+        self.hold(self.inbound.read_all())
 
-    def on_end(self) -> None:
+    def on_eof(self) -> None:
         self.hold(b"")
 
     def hold(self, data: bytes) -> None:
@@ -260,7 +260,7 @@
     def pass_on(self) -> None:
         self.due_out = False
         stage, other = self.relay.stage, self.other
-        while self.held and other.open:
+        while self.held and other.is_open:
             due, data = self.held[0]
             wait = due - stage.now()
             if wait <= 0 and stage.faults.is_cut(stage.now(), self.source, self.target):
@@ -269,7 +269,7 @@
                 self.due_out = True
                 self.loop.after(wait, self.pass_on)
                 return
-            if data and not other.outbound.put(data):
+            if data and not other.outbound.append(data):
                 self.due_out = True
                 self.loop.after(MS, self.pass_on)
                 return
@@ -277,28 +277,28 @@
             if data:
                 other.flush()
             else:
-                other.end_sending()
+                other.shutdown_write()
         if (
-            self.heard_end
-            and other.heard_end
+            self.received_eof
+            and other.received_eof
             and not self.held
             and not other.held
-            and not other.outbound.held
+            and not other.outbound.used
         ):
             self.close()
             other.close()
 
-    def on_emptied(self) -> None:
-        if self.other is not None and self.other.heard_end and not self.other.due_out:
+    def on_output_flushed(self) -> None:
+        if self.other is not None and self.other.received_eof and not self.other.due_out:
             self.other.pass_on()
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         self.close()
         other = self.other
-        if other is not None and other.open:
+        if other is not None and other.is_open:
             stage = self.relay.stage
             if stage.faults.is_cut(stage.now(), self.source, self.target):
-                self.loop.after(50 * MS, self.on_broken)
+                self.loop.after(50 * MS, self.on_connection_lost)
             else:
                 other.close(reset=True)
 
@@ -318,11 +318,11 @@
         far = Pipe(self, self.stage.loop.system.stream(), self.target, self.source)
         near.other, far.other = far, near
         if far.connect(self.to):
-            far.on_broken()
+            far.on_connection_lost()
             return
         self.stage.sources[far.sock.getsockname()] = self.source
-        far.await_more()
-        near.await_more()
+        far.update_events()
+        near.update_events()
 
 
 class DatagramRelay:
@@ -336,7 +336,7 @@
         self.sock.setblocking(False)
         stage.loop.watch(self.sock, 0, READ, self)
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         stage = self.stage
         while True:
             try:
@@ -365,7 +365,7 @@
 
     def __init__(self, seed: int, settings: dict, peers: dict | None = None) -> None:
         self.system = System()
-        super().__init__(Loop(self.fault, 1 << 20, self.system), seed, settings, peers)
+        super().__init__(EventLoop(self.fault, 1 << 20, self.system), seed, settings, peers)
         self.chance = random.Random(seed)
         self.folder = tempfile.TemporaryDirectory(prefix="thymedeck-lab-")
         self.path = Path(self.folder.name)
@@ -532,7 +532,7 @@
         end = self.loop.now() + span
         due = self.loop.after(span, lambda: None)
         while self.loop.now() < end:
-            self.loop.turn()
+            self.loop.run_once()
         due.cancel()
         self.read_logs()
         if self.errors:
@@ -625,7 +625,7 @@
             peer.address, Message(VERSION, kind, name or self.peers.name, *given, token=peer.token, **more)
         )
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         while True:
             try:
                 data = self.sock.recv(LARGEST + 1)
--- a/thymedeck/lab/standins.py
+++ b/thymedeck/lab/standins.py
@@ -12,8 +12,8 @@
 from msgspec import Struct, structs
 
 from ..net.connection import Connection
-from ..net.loop import READ, Loop
-from ..net.ring import Ring
+from ..net.loop import READ, EventLoop
+from ..net.ring import RingBuffer
 from .records import Record
 
 SECOND = 10_000
@@ -24,7 +24,7 @@
 class Door:
     """A listening socket; each that comes is given to `take` with the address that it comes from."""
 
-    def __init__(self, loop: Loop, address: tuple[str, int], take: Callable) -> None:
+    def __init__(self, loop: EventLoop, address: tuple[str, int], take: Callable) -> None:
         self.loop = loop
         self.take = take
         self.sock = loop.system.listen(address, BACKLOG)
@@ -33,7 +33,7 @@
         loop.watch(self.sock, 0, READ, self)
         self.open = True
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         while self.open:
             try:
                 sock, source = self.sock.accept()
@@ -51,24 +51,24 @@
 class Speaker(Connection):
     """Reads line by line."""
 
-    def __init__(self, loop: Loop, sock: object) -> None:
+    def __init__(self, loop: EventLoop, sock: object) -> None:
         super().__init__(loop, sock)
         self.part = b""
-        self.await_more()
+        self.update_events()
 
-    def on_bytes(self, count: int) -> None:
-        *lines, self.part = (self.part + self.inbound.take()).split(b"\r\n")
+    def on_data(self, count: int) -> None:
+        *lines, self.part = (self.part + self.inbound.read_all()).split(b"\r\n")
         for line in lines:
-            if self.open:
+            if self.is_open:
                 self.on_line(line)
 
     def on_line(self, line: bytes) -> None:
         raise NotImplementedError
 
-    def on_end(self) -> None:
+    def on_eof(self) -> None:
         self.close()
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         self.close()
 
 
@@ -96,22 +96,22 @@
             self.service.called(self, line.split(b" ")[1].decode())
 
     def reply(self, status: int, body: bytes) -> None:
-        if self.open:
+        if self.is_open:
             reason = {200: b"OK", 503: b"Service Unavailable"}[status]
             answer = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s" % (status, reason, len(body), body)
-            if len(answer) > self.outbound.room:
+            if len(answer) > self.outbound.free_space:
                 # An answer that does not fit the ring would be dropped whole.
-                waiting = self.outbound.take()
-                self.outbound = Ring(len(waiting) + len(answer))
-                self.outbound.put(waiting)
-            self.say(answer)
+                waiting = self.outbound.read_all()
+                self.outbound = RingBuffer(len(waiting) + len(answer))
+                self.outbound.append(waiting)
+            self.write(answer)
 
 
 class ListService:
     """Works through calls in turn, so many a second; what would wait too long is answered 503."""
 
     def __init__(
-        self, loop: Loop, record: Record, address_for: Callable[[str, str], str], capacity: float = 0.0
+        self, loop: EventLoop, record: Record, address_for: Callable[[str, str], str], capacity: float = 0.0
     ) -> None:
         """`address_for(server, balancer)`: under which that balancer reaches it; `capacity` 0: unbounded."""
         self.loop = loop
@@ -190,7 +190,7 @@
         self.answer(call, self.version)
 
     def answer(self, call: ListCall, index: int) -> None:
-        if self.down or not call.open:
+        if self.down or not call.is_open:
             self.record.note("list answer", balancer=call.balancer, status=0, version=-1)
             call.close(reset=True)
             return
@@ -227,13 +227,13 @@
             self.ident = line.split(b" ")[1].decode()
             self.server.opened(self, line.decode("latin-1"))
         elif self.up and line == b"QUIT":
-            self.say(b"BYE\r\n")
-            self.end_sending()
+            self.write(b"BYE\r\n")
+            self.shutdown_write()
         elif self.up and not self.server.silent:
-            self.say(line + b"\r\n")
+            self.write(line + b"\r\n")
 
     def close(self, reset: bool = False) -> None:
-        if self.open:
+        if self.is_open:
             super().close(reset)
             self.server.gone(self)
 
@@ -241,7 +241,9 @@
 class Server:
     """Takes so many connections, each set-up after its work in turn; cold at first, it falls under a rush."""
 
-    def __init__(self, loop: Loop, record: Record, ident: str, limit: int = 1 << 30, work: int = 50) -> None:
+    def __init__(
+        self, loop: EventLoop, record: Record, ident: str, limit: int = 1 << 30, work: int = 50
+    ) -> None:
         self.loop = loop
         self.record = record
         self.ident = ident
@@ -309,8 +311,8 @@
             one.close()
         elif self.draining or sum(other.up for other in self.open) >= self.limit:
             self.note(one, "BUSY")
-            one.say(b"BUSY\r\n")
-            one.end_sending()
+            one.write(b"BUSY\r\n")
+            one.shutdown_write()
         else:
             self.busy_until = max(self.busy_until, now) + self.work
             self.loop.after(self.busy_until - now, lambda: self.rise(one))
@@ -319,10 +321,10 @@
         self.record.note("server answer", server=self.ident, id=one.ident, answer=answer)
 
     def rise(self, one: Served) -> None:
-        if one.open and not self.silent:
+        if one.is_open and not self.silent:
             one.up = True
             self.note(one, "UP")
-            one.say(b"UP %s-%s\r\nLOAD 10000\r\n" % (self.ident.encode(), one.ident.encode()))
+            one.write(b"UP %s-%s\r\nLOAD 10000\r\n" % (self.ident.encode(), one.ident.encode()))
 
 
 # Clients
@@ -332,7 +334,7 @@
     """Clients that come by chance, stay a while, and come again when they are moved, refused or cut off."""
 
     def __init__(
-        self, loop: Loop, record: Record, balancers: Callable[[], list[tuple[str, tuple[str, int]]]],
+        self, loop: EventLoop, record: Record, balancers: Callable[[], list[tuple[str, tuple[str, int]]]],
         seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int,
     ) -> None:  # fmt: skip
         """`balancers` gives the names and addresses that a front would deal clients to now."""
@@ -385,14 +387,14 @@
     def call(self, address: tuple[str, int], again: bool) -> None:
         crowd = self.crowd
         figures = f"c={self.kind},d={crowd.deadline // 10}" + (",again=1" if again else "")
-        self.outbound.put(f"OPEN {self.ident} {crowd.bits(64):016x} {figures}\r\n".encode())
+        self.outbound.append(f"OPEN {self.ident} {crowd.bits(64):016x} {figures}\r\n".encode())
         self.due = self.loop.after(crowd.deadline + 2 * SECOND, self.give_up)
         if self.connect(address):
-            self.on_broken()
+            self.on_connection_lost()
         else:
-            self.await_more()
+            self.update_events()
 
-    def on_emptied(self) -> None:
+    def on_output_flushed(self) -> None:
         if not self.sent:
             self.sent = True
             self.note("client line", kind=self.kind, deadline=self.crowd.deadline)
@@ -421,25 +423,25 @@
             self.close()
 
     def speak(self) -> None:
-        if self.open and self.standing:
-            self.say(b"x\r\n")
+        if self.is_open and self.standing:
+            self.write(b"x\r\n")
             self.loop.after(LINE_EVERY, self.speak)
 
     def leave(self) -> None:
-        if self.open:
+        if self.is_open:
             self.standing = False
             self.note("client leaves")
             self.close()
 
     def give_up(self) -> None:
-        if self.open:
+        if self.is_open:
             self.note("client gives up")
             self.close()
 
-    def on_end(self) -> None:
-        self.on_broken()
+    def on_eof(self) -> None:
+        self.on_connection_lost()
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         if self.standing:
             self.crowd.come_again(self, int(self.crowd.uniform(0.05, 0.5) * SECOND))
         elif not self.answered and not self.sent:
--- a/thymedeck/lab/world.py
+++ b/thymedeck/lab/world.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from ..net.loop import READ, WRITE, Loop
+from ..net.loop import READ, WRITE, EventLoop
 from .faults import Faults
 
 Address = tuple[str, int]
@@ -32,12 +32,12 @@
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.count = 0
         self.doors: dict[Address, MemorySocket] = {}
-        self.loops: list[Loop] = []
+        self.loops: list[EventLoop] = []
         self.cut: set[str] = set()  # machines that nothing comes from or gets to
         self.datagrams: dict[Address, MemoryDatagrams] = {}
         self.faults: Faults | None = None  # between machines, by the names of their hosts
         self.names: dict[str, str] = {}  # by host
-        self.frozen: set[Loop] = set()  # loops that do not turn; their timers come late
+        self.frozen: set[EventLoop] = set()  # loops that do not turn; their timers come late
 
     def after(self, wait_ns: int, call: Callable[[], None]) -> None:
         self.count += 1
@@ -49,7 +49,7 @@
             awake = [loop for loop in self.loops if loop not in self.frozen]
             for loop in awake:
                 while loop.running and (loop.selector.touched or self.timer_ns(loop) <= self.now_ns):
-                    loop.turn()
+                    loop.run_once()
             times = [self.timer_ns(loop) for loop in awake if loop.running]
             if self.heap:
                 times.append(self.heap[0][0])
@@ -69,9 +69,9 @@
         return self.names.get(host, host)
 
     @staticmethod
-    def timer_ns(loop: Loop) -> int:
+    def timer_ns(loop: EventLoop) -> int:
         """When the loop's next timer is due, in the loop's own whole tenths of a millisecond."""
-        while loop.timers and loop.timers[0][2].call is None:
+        while loop.timers and loop.timers[0][2].callback is None:
             heapq.heappop(loop.timers)
         return loop.timers[0][0] * 100_000 if loop.timers else 1 << 62
 
--- a/thymedeck/net/clients.py
+++ b/thymedeck/net/clients.py
@@ -6,25 +6,25 @@
 
 from .connection import Connection
 from .endings import Ending
-from .lines import Garbled, first_line
-from .loop import LATE, READ
-from .servers import Dialled
+from .lines import LineTooLong, peek_line
+from .loop import READ, STALL_THRESHOLD
+from .servers import DialConnection
 
 if TYPE_CHECKING:
     from .service import Service
 
-FIRST_LINE_WITHIN = 20_000  # from being taken in, whatever PINGs come before it
-MOST_PINGS = 8
-FULL_PAUSE = 500  # nothing is taken in for so long when there are no sockets left
-LINGER = 10_000  # the other side gets so long to read the last bytes
-BAD_LINGER = 3_000  # and so long if it speaks something else
-HALF_OPEN = 50_000  # a connection with one side ended is kept so long
-MOVE_WITHIN = 30_000  # for a line to end, so that MOVE comes between two: a silent server is borne as long
+FIRST_LINE_TIMEOUT = 20_000  # from being taken in, whatever PINGs come before it
+MAX_PINGS = 8
+ACCEPT_PAUSE = 500  # nothing is taken in for so long when there are no sockets left
+LINGER_TIMEOUT = 10_000  # the other side gets so long to read the last bytes
+MALFORMED_LINGER_TIMEOUT = 3_000  # and so long if it speaks something else
+HALF_CLOSE_TIMEOUT = 50_000  # a connection with one side ended is kept so long
+MOVE_TIMEOUT = 30_000  # for a line to end, so that MOVE comes between two: a silent server is borne as long
 BACKLOG = 512
-AT_ONCE = 32  # connections taken in before others have their turn
+ACCEPT_BATCH = 32  # connections taken in before others have their turn
 
 
-class Door:
+class Acceptor:
     """The listening socket."""
 
     def __init__(self, service: "Service", address: tuple[str, int]) -> None:
@@ -33,43 +33,43 @@
         self.sock.setblocking(False)
         self.mask = 0
         self.is_open = True
-        self.await_clients()
+        self.resume_accepting()
 
-    def await_clients(self) -> None:
+    def resume_accepting(self) -> None:
         if self.is_open:
             self.service.loop.watch(self.sock, self.mask, READ, self)
             self.mask = READ
 
-    def ready(self, mask: int) -> None:
-        self.take_some()
+    def on_ready(self, mask: int) -> None:
+        self.accept_batch()
 
-    def take_some(self) -> bool:
+    def accept_batch(self) -> bool:
         """Whether more may wait."""
-        for _ in range(AT_ONCE):
+        for _ in range(ACCEPT_BATCH):
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
                 return False
             except (InterruptedError, ConnectionError):
                 continue
-            except OSError as why:
+            except OSError as error:
                 # Guards against spinning on a connection that can't be taken in for want of sockets.
-                if why.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
+                if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
                     self.service.log("no_sockets")
                     self.service.loop.watch(self.sock, self.mask, 0, self)
                     self.mask = 0
-                    self.service.loop.after(FULL_PAUSE, self.await_clients)
+                    self.service.loop.after(ACCEPT_PAUSE, self.resume_accepting)
                 return False
-            self.take_in(sock)
+            self.add_client(sock)
         return True
 
-    def take_in(self, sock: socket.socket) -> None:
+    def add_client(self, sock: socket.socket) -> None:
         loop = self.service.loop
-        self.service.make_room(loop.reserve)
+        self.service.evict_clients(loop.client_reserve)
         client = Client(self.service, sock)
-        if loop.free < loop.reserve:
+        if loop.free_descriptors < loop.client_reserve:
             client.answer(b"BUSY\r\n", Ending.PUSHED_OUT)
-        elif loop.waited() > LATE:
+        elif loop.max_unread_time() > STALL_THRESHOLD:
             client.read()  # so that what waited with it is known to have waited
 
     def close(self) -> None:
@@ -83,200 +83,209 @@
     def __init__(self, service: "Service", sock: socket.socket) -> None:
         super().__init__(service.loop, sock)
         self.service = service
-        self.words: list[bytes] = []  # of its first line, without `d`
-        self.sess = -1
-        self.fixed = -1  # the server at which it stood before, if any
-        self.fixed_until = 0
-        self.dial: Dialled | None = None
-        self.standing = False
-        self.moving = False
-        self.done = False
-        self.asked_at = -1  # when the first line went on that nothing has come back for
-        self.pings = 0
-        self.answer_by = 0  # once its line has come
-        self.due = self.loop.after(FIRST_LINE_WITHIN, self.no_line)
-        service.connected[self] = None
-        service.loose[self] = None
-        self.await_more()
+        self.open_words: list[bytes] = []  # of its first line, without `d`
+        self.session_id = -1
+        self.restored_server = -1  # the server at which it stood before, if any
+        self.restore_deadline = 0
+        self.dial: DialConnection | None = None
+        self.is_established = False
+        self.is_moving = False
+        self.is_finished = False
+        self.unanswered_since = -1  # when the first line went on that nothing has come back for
+        self.ping_count = 0
+        self.answer_deadline = 0  # once its line has come
+        self.timer = self.loop.after(FIRST_LINE_TIMEOUT, self.on_first_line_timeout)
+        service.connections[self] = None
+        service.evictable[self] = None
+        self.update_events()
 
     # Before the session stands
 
-    def no_line(self) -> None:
-        if self.inbound.held:
+    def on_first_line_timeout(self) -> None:
+        if self.inbound.used:
             # Guards against a reset of what is just becoming a session: the line's end may be on its way.
             self.answer(b"BUSY\r\n", Ending.IDLE)
         else:
             self.finish(Ending.IDLE)
 
-    def on_bytes(self, count: int) -> None:
-        if self.standing:
-            if self.asked_at < 0:
-                self.asked_at = self.loop.now()
+    def on_data(self, count: int) -> None:
+        if self.is_established:
+            if self.unanswered_since < 0:
+                self.unanswered_since = self.loop.now()
             self.dial.flush()
             return
-        if self.done:
+        if self.is_finished:
             return
-        if self.words:
+        if self.open_words:
             # Guards against a peer that sends command after command: a client waits for its answer.
             self.answer(b"ERR wait for the answer\r\n", Ending.MALFORMED)
             return
         try:
-            while not self.words and not self.done and (line := first_line(self.inbound)) is not None:
-                self.inbound.skip(len(line))
-                self.take_line(line.rstrip(b"\r\n"))
-        except Garbled:
+            while (
+                not self.open_words and not self.is_finished and (line := peek_line(self.inbound)) is not None
+            ):
+                self.inbound.discard(len(line))
+                self.on_first_line(line.rstrip(b"\r\n"))
+        except LineTooLong:
             self.answer(b"ERR line too long\r\n", Ending.MALFORMED)
 
-    def take_line(self, line: bytes) -> None:
+    def on_first_line(self, line: bytes) -> None:
         if line != b"PING":
-            self.due.cancel()
-            self.service.opened(self, line)
-        elif self.service.is_able and self.pings < MOST_PINGS:
-            self.pings += 1
-            self.say(b"PONG\r\n")
+            self.timer.cancel()
+            self.service.on_open_line(self, line)
+        elif self.service.is_ready and self.ping_count < MAX_PINGS:
+            self.ping_count += 1
+            self.write(b"PONG\r\n")
         else:
             self.finish(Ending.IDLE)
 
-    def dial_line(self, limit: int) -> bytes:
+    def open_line(self, time_limit: int) -> bytes:
         """The client's line with the limit of this dial, in whole milliseconds, as its `d`."""
-        verb, ident, key, figures = self.words
-        return b"%s %s %s %s\r\n" % (verb, ident, key, figures.replace(b"\0", b"%d" % (limit // 10)))
+        verb, identifier, key, parameters = self.open_words
+        return b"%s %s %s %s\r\n" % (
+            verb,
+            identifier,
+            key,
+            parameters.replace(b"\0", b"%d" % (time_limit // 10)),
+        )
 
     # Answers
 
-    def await_answer(self, wait: int) -> None:
+    def start_answer_timer(self, wait: int) -> None:
         """Guards against a fault that would leave a client with no answer at all."""
-        self.due = self.loop.after(wait, self.unanswered)
-        self.answer_by = self.due.at
+        self.timer = self.loop.after(wait, self.on_answer_timeout)
+        self.answer_deadline = self.timer.expires_at
 
-    def unanswered(self) -> None:
-        if not self.standing:
-            self.service.log("unanswered", sess=self.sess)
+    def on_answer_timeout(self) -> None:
+        if not self.is_established:
+            self.service.log("unanswered", sess=self.session_id)
             self.answer(b"ERR no answer in time\r\n", Ending.ANSWERED)
 
     def answer(self, line: bytes, ending: Ending) -> None:
         """A final answer other than a server's; then the connection ends."""
-        if self.done:
+        if self.is_finished:
             return
-        self.say(line)
+        self.write(line)
         self.finish(ending, linger=True)
 
     # From the first line of the server on
 
-    def stand(self, dial: Dialled) -> None:
+    def on_established(self, dial: DialConnection) -> None:
         """From here on the rings are shared: what the one reads the other writes."""
-        self.standing = True
-        self.due.cancel()
+        self.is_established = True
+        self.timer.cancel()
         self.outbound = dial.inbound
         dial.outbound = self.inbound
         self.partner, dial.partner = dial, self
-        if self.inbound.held:
-            self.asked_at = self.loop.now()
+        if self.inbound.used:
+            self.unanswered_since = self.loop.now()
             dial.flush()
 
-    def answered(self) -> None:
-        if self.asked_at >= 0:
-            self.service.message_took(self.dial.server, self.loop.now() - self.asked_at)
-        self.asked_at = -1
+    def on_server_line(self) -> None:
+        if self.unanswered_since >= 0:
+            self.service.add_delay_sample(self.dial.server, self.loop.now() - self.unanswered_since)
+        self.unanswered_since = -1
 
-    def on_emptied(self) -> None:
-        if self.moving:
+    def on_output_flushed(self) -> None:
+        if self.is_moving:
             self.move()
-        elif self.standing:
-            self.settle()
+        elif self.is_established:
+            self.close_if_complete()
 
     def move(self) -> None:
         """Sends MOVE between two lines and ends both sides."""
-        if self.done or not self.standing:
+        if self.is_finished or not self.is_established:
             return
-        if not self.moving:
-            self.moving = True
-            self.due.cancel()
-            self.due = self.loop.after(MOVE_WITHIN, self.move_overdue)
-        if self.put_move():
-            self.moving = False
-            self.dial.deaf = True  # the shared ring takes nothing more from the server
+        if not self.is_moving:
+            self.is_moving = True
+            self.timer.cancel()
+            self.timer = self.loop.after(MOVE_TIMEOUT, self.on_move_timeout)
+        if self.try_send_move():
+            self.is_moving = False
+            self.dial.discards_input = True  # the shared ring takes nothing more from the server
             self.finish(Ending.MOVED, linger=True)
 
-    def put_move(self) -> bool:
-        return self.dial.lines.between and self.outbound.put(b"MOVE\r\n")
+    def try_send_move(self) -> bool:
+        return self.dial.line_splitter.is_at_line_boundary and self.outbound.append(b"MOVE\r\n")
 
-    def move_overdue(self) -> None:
+    def on_move_timeout(self) -> None:
         self.finish(Ending.MOVE_OVERDUE)
 
-    def server_ended(self, word: Ending) -> None:
+    def on_server_eof(self, ending: Ending) -> None:
         """The server has ended its sending, so do we once all is passed on."""
-        self.service.session_over(self, word)
-        self.end_sending()
-        self.half_open()
+        self.service.on_session_ended(self, ending)
+        self.shutdown_write()
+        self.start_half_close()
 
-    def half_open(self) -> None:
+    def start_half_close(self) -> None:
         """One side has ended: the other may go on for a while."""
-        self.moving = False
-        self.due.cancel()
-        self.due = self.loop.after(HALF_OPEN, self.close_both)
-        self.settle()
+        self.is_moving = False
+        self.timer.cancel()
+        self.timer = self.loop.after(HALF_CLOSE_TIMEOUT, self.close_both)
+        self.close_if_complete()
 
-    def settle(self) -> None:
-        if self.heard_end and self.dial.heard_end and not self.outbound.held:
+    def close_if_complete(self) -> None:
+        if self.received_eof and self.dial.received_eof and not self.outbound.used:
             self.close_both()
 
-    def server_broke(self, word: Ending) -> None:
+    def on_server_lost(self, ending: Ending) -> None:
         """Guards against clients that wait long after a break: they are asked to move, between two lines."""
-        self.service.session_over(self, word)
+        self.service.on_session_ended(self, ending)
         self.dial.close()
-        if word is Ending.SERVER_BROKE and self.put_move():
-            self.finish(word, linger=True)
+        if ending is Ending.SERVER_BROKE and self.try_send_move():
+            self.finish(ending, linger=True)
         else:
             self.flush()
             self.close_both(reset=True)
 
-    def on_end(self) -> None:
-        if self.done:
+    def on_eof(self) -> None:
+        if self.is_finished:
             self.close_both()
-        elif not self.standing:
+        elif not self.is_established:
             self.finish(Ending.CLIENT_LEFT)
         else:
-            self.service.session_over(self, Ending.CLIENT_LEFT)
-            self.dial.end_sending()
-            self.half_open()
+            self.service.on_session_ended(self, Ending.CLIENT_LEFT)
+            self.dial.shutdown_write()
+            self.start_half_close()
 
-    def on_broken(self) -> None:
-        if self.done:
+    def on_connection_lost(self) -> None:
+        if self.is_finished:
             self.close_both()  # else the loop would be told of it over and over
             return
-        if self.standing:
-            self.service.session_over(self, Ending.CLIENT_BROKE)
+        if self.is_established:
+            self.service.on_session_ended(self, Ending.CLIENT_BROKE)
             self.dial.close(reset=True)
         self.finish(Ending.CLIENT_BROKE)
 
     def close_both(self, reset: bool = False) -> None:
-        self.done = True
+        self.is_finished = True
         if self.dial is not None:
             self.dial.close()
         self.close(reset)
 
     def finish(self, ending: Ending, linger: bool = False) -> None:
         """Ends the session's client side; told to the decisions if they still hold it."""
-        if self.done:
+        if self.is_finished:
             return
-        self.done = True
-        self.due.cancel()
-        self.service.client_over(self, ending)
-        if linger and self.open:
+        self.is_finished = True
+        self.timer.cancel()
+        self.service.on_client_ended(self, ending)
+        if linger and self.is_open:
             # Guards against a reset that overtakes the last line when the client's next bytes come.
-            self.deaf = True
+            self.discards_input = True
             # Guards against work for what such a peer goes on sending at full speed: it is not read.
-            self.mute = ending is Ending.MALFORMED
+            self.reading_disabled = ending is Ending.MALFORMED
             self.partner = None
-            self.service.loose[self] = None
-            self.due = self.loop.after(BAD_LINGER if self.mute else LINGER, self.close)
-            self.end_sending()
+            self.service.evictable[self] = None
+            self.timer = self.loop.after(
+                MALFORMED_LINGER_TIMEOUT if self.reading_disabled else LINGER_TIMEOUT, self.close
+            )
+            self.shutdown_write()
         else:
             self.close()
 
     def close(self, reset: bool = False) -> None:
-        self.due.cancel()
-        self.service.loose.pop(self, None)
-        self.service.connected.pop(self, None)
+        self.timer.cancel()
+        self.service.evictable.pop(self, None)
+        self.service.connections.pop(self, None)
         super().close(reset)
--- a/thymedeck/net/config_file.py
+++ b/thymedeck/net/config_file.py
@@ -10,14 +10,18 @@
 
 from ..settings import Settings
 
-UNREADABLE = (ValueError, msgspec.MsgspecError, RecursionError)  # what text that is nested too deep ends in
+DECODE_ERRORS = (
+    ValueError,
+    msgspec.MsgspecError,
+    RecursionError,
+)  # what text that is nested too deep ends in
 
 
 class StartError(Exception):
     """What the balancer was told at its start can't be used; the text says why."""
 
 
-class Row(msgspec.Struct):
+class ListedServer(msgspec.Struct):
     """A server in the list."""
 
     id: str
@@ -30,7 +34,7 @@
     started_ms: float = 0.0
 
 
-class Listing(msgspec.Struct):
+class ServerList(msgspec.Struct):
     version: int
     full: bool = False
     servers: list[msgspec.Raw] = []  # of a Row each, looked at one by one
@@ -40,60 +44,60 @@
     sockets: int = 1 << 20
 
 
-class Told(msgspec.Struct):
+class BalancerConfig(msgspec.Struct):
     name: str
     listen: str
     discovery: str
     settings: Settings
     seed: str = "0"
-    known: Listing | None = None
+    known: ServerList | None = None
     limits: Limits = msgspec.field(default_factory=Limits)
 
 
-class Start(msgspec.Struct, frozen=True):
+class StartupConfig(msgspec.Struct, frozen=True):
     path: str
-    told: Told
+    config: BalancerConfig
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is no address with a port")
     return host, int(port)
 
 
-LATEST = 1e15  # milliseconds, and MOST_WEIGHT: no server's figure is beyond these
-MOST_WEIGHT = 1e12
+MAX_STARTED_MS = 1e15  # milliseconds, and MOST_WEIGHT: no server's figure is beyond these
+MAX_WEIGHT = 1e12
 
-decode_row = msgspec.json.Decoder(Row).decode
+decode_listed = msgspec.json.Decoder(ListedServer).decode
 
 
-class Named(msgspec.Struct):
+class EntryId(msgspec.Struct):
     id: str = ""
 
 
-def name_of(raw: msgspec.Raw) -> str:
+def entry_id(raw: msgspec.Raw) -> str:
     """The id of an entry that is not usable else, if it can be read."""
-    with contextlib.suppress(*UNREADABLE):
-        return msgspec.json.decode(raw, type=Named).id
+    with contextlib.suppress(*DECODE_ERRORS):
+        return msgspec.json.decode(raw, type=EntryId).id
     return ""
 
 
-def usable(raw: msgspec.Raw) -> Row:
-    row = decode_row(raw)
-    if not row.id:
+def decode_entry(raw: msgspec.Raw) -> ListedServer:
+    entry = decode_listed(raw)
+    if not entry.id:
         raise ValueError("no id")
-    if not (row.started_ms < LATEST and row.weight < MOST_WEIGHT and abs(row.cell) < 1 << 60):
+    if not (entry.started_ms < MAX_STARTED_MS and entry.weight < MAX_WEIGHT and abs(entry.cell) < 1 << 60):
         raise ValueError("a figure is out of bounds")
-    return row
+    return entry
 
 
 def server_address(text: str) -> tuple[str, int]:
     """Only figures: guards against a name in the list, which would be looked up while all others wait."""
-    host, port = address(text)
+    host, port = parse_address(text)
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
@@ -103,36 +107,36 @@
     return host, port
 
 
-def read(path: str) -> Told:
-    told = msgspec.json.decode(Path(path).read_bytes(), type=Told)
-    if not told.settings.listeners:
+def read_config(path: str) -> BalancerConfig:
+    config = msgspec.json.decode(Path(path).read_bytes(), type=BalancerConfig)
+    if not config.settings.listeners:
         raise ValueError("the settings name no listeners")
-    return told
+    return config
 
 
 @contextlib.contextmanager
-def plainly(path: str) -> Iterator[None]:
+def start_errors(path: str) -> Iterator[None]:
     """Says in one line what is wrong with the file."""
     try:
         yield
-    except OSError as why:
-        raise StartError(f"{path}: {why.strerror}") from why
-    except UNREADABLE as why:
-        raise StartError(f"{path}: {why}") from why
+    except OSError as error:
+        raise StartError(f"{path}: {error.strerror}") from error
+    except DECODE_ERRORS as error:
+        raise StartError(f"{path}: {error}") from error
 
 
-def read_start(path: str) -> Start:
+def read_startup_config(path: str) -> StartupConfig:
     """Environment variables win over the file, as they are what the platform sets last."""
-    with plainly(path):
-        told = read(path)
-        listen = address(os.environ.get("LB_LISTEN", told.listen))
-        discovery = address(os.environ.get("LB_DISCOVERY", told.discovery))
-        told.name = os.environ.get("LB_NAME", told.name)
-        return Start(path, told, listen, discovery, int(told.seed, 16))
+    with start_errors(path):
+        config = read_config(path)
+        listen = parse_address(os.environ.get("LB_LISTEN", config.listen))
+        discovery = parse_address(os.environ.get("LB_DISCOVERY", config.discovery))
+        config.name = os.environ.get("LB_NAME", config.name)
+        return StartupConfig(path, config, listen, discovery, int(config.seed, 16))
 
 
-def read_again(path: str) -> tuple[Told, tuple[str, int]]:
+def reread_config(path: str) -> tuple[BalancerConfig, tuple[str, int]]:
     """A file that was replaced is newer than the environment: its discovery wins."""
-    with plainly(path):
-        told = read(path)
-        return told, address(told.discovery)
+    with start_errors(path):
+        config = read_config(path)
+        return config, parse_address(config.discovery)
--- a/thymedeck/net/connection.py
+++ b/thymedeck/net/connection.py
@@ -5,8 +5,8 @@
 import socket
 import struct
 
-from .loop import READ, WRITE, Loop
-from .ring import Ring
+from .loop import READ, WRITE, EventLoop
+from .ring import RingBuffer
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
@@ -17,142 +17,144 @@
     Two connections that pass bytes on share their rings: the one's `inbound` is the other's `outbound`.
     """
 
-    def __init__(self, loop: Loop, sock: socket.socket) -> None:
+    def __init__(self, loop: EventLoop, sock: socket.socket) -> None:
         self.loop = loop
         self.sock = sock
-        self.open = True
-        self.inbound = Ring()
-        self.outbound = Ring()
+        self.is_open = True
+        self.inbound = RingBuffer()
+        self.outbound = RingBuffer()
         self.mask = 0
         self.connecting = False
-        self.heard_end = False
-        self.end_wanted = False  # our sending ends once the ring is empty
-        self.end_sent = False
-        self.deaf = False  # what comes is no longer wanted
-        self.mute = False  # and is not even read
+        self.received_eof = False
+        self.shutdown_requested = False  # our sending ends once the ring is empty
+        self.shutdown_sent = False
+        self.discards_input = False  # what comes is no longer wanted
+        self.reading_disabled = False  # and is not even read
         self.partner: Connection | None = None  # reads into our `outbound`
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        loop.free -= 1
+        loop.free_descriptors -= 1
 
     def connect(self, address: tuple[str, int]) -> str:
         """Begins to connect; returns why that failed at once, if it did."""
         self.connecting = True
-        failed = self.sock.connect_ex(address)
-        return "" if failed in (0, errno.EINPROGRESS) else os.strerror(failed)
+        error = self.sock.connect_ex(address)
+        return "" if error in (0, errno.EINPROGRESS) else os.strerror(error)
 
     # Callbacks, for the kinds of connection to fill in
 
-    def on_up(self) -> None:
+    def on_connected(self) -> None:
         pass
 
-    def on_bytes(self, count: int) -> None:
+    def on_data(self, count: int) -> None:
         pass
 
-    def on_end(self) -> None:
+    def on_eof(self) -> None:
         """The other side has ended its sending."""
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         """The connection is gone, or never came up."""
 
-    def on_unwritable(self) -> None:
+    def on_write_error(self) -> None:
         """The other side takes nothing more."""
-        self.on_broken()
+        self.on_connection_lost()
 
-    def on_emptied(self) -> None:
+    def on_output_flushed(self) -> None:
         """All that was to be written is written."""
 
     # Called by the loop
 
-    def ready(self, mask: int) -> None:
-        if mask & WRITE and self.open:
+    def on_ready(self, mask: int) -> None:
+        if mask & WRITE and self.is_open:
             if self.connecting:
                 if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                    self.on_broken()
+                    self.on_connection_lost()
                     return
                 self.connecting = False
-                self.on_up()
+                self.on_connected()
             self.flush()
-        if mask & READ and self.open and not self.connecting:
+        if mask & READ and self.is_open and not self.connecting:
             self.read()
 
     def read(self) -> bool:
         """Whether something came, so that more may wait."""
         try:
-            if self.deaf:
+            if self.discards_input:
                 count = len(self.sock.recv(65536))
-            elif not self.inbound.room:
+            elif not self.inbound.free_space:
                 return False
             else:
-                count = self.inbound.fill(self.sock)
+                count = self.inbound.receive_from(self.sock)
         except (BlockingIOError, InterruptedError):
             return False
         except OSError:
-            self.on_broken()
+            self.on_connection_lost()
             return False
         if not count:
-            self.heard_end = True
-            self.await_more()
-            self.on_end()
-        elif not self.deaf:
-            self.on_bytes(count)
-            self.await_more()
+            self.received_eof = True
+            self.update_events()
+            self.on_eof()
+        elif not self.discards_input:
+            self.on_data(count)
+            self.update_events()
         return count > 0
 
     def flush(self) -> None:
         """Writes what can be written now; the rest goes when the socket takes more."""
-        if not self.open or self.connecting:
+        if not self.is_open or self.connecting:
             return
-        wrote = 0
+        written = 0
         try:
-            while self.outbound.held and not self.end_sent:
-                wrote += self.outbound.empty(self.sock)
+            while self.outbound.used and not self.shutdown_sent:
+                written += self.outbound.send_to(self.sock)
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
-            self.on_unwritable()
+            self.on_write_error()
             return
-        if not self.outbound.held:
-            if self.end_wanted and not self.end_sent:
-                self.end_sent = True
+        if not self.outbound.used:
+            if self.shutdown_requested and not self.shutdown_sent:
+                self.shutdown_sent = True
                 try:
                     self.sock.shutdown(socket.SHUT_WR)
                 except OSError:
-                    self.on_broken()
+                    self.on_connection_lost()
                     return
-            if wrote:
-                self.on_emptied()
-        self.await_more()
-        if wrote and self.partner is not None:
-            self.partner.await_more()
+            if written:
+                self.on_output_flushed()
+        self.update_events()
+        if written and self.partner is not None:
+            self.partner.update_events()
 
-    def await_more(self) -> None:
+    def update_events(self) -> None:
         """Reads on only while there is room: a full ring holds the sender back."""
-        if not self.open:
+        if not self.is_open:
             return
         mask = 0
-        if self.connecting or (self.outbound.held and not self.end_sent):
+        if self.connecting or (self.outbound.used and not self.shutdown_sent):
             mask |= WRITE
-        if not (self.connecting or self.heard_end or self.mute) and (self.deaf or self.inbound.room):
+        if not (self.connecting or self.received_eof or self.reading_disabled) and (
+            self.discards_input or self.inbound.free_space
+        ):
             mask |= READ
         self.loop.watch(self.sock, self.mask, mask, self)
         self.mask = mask
 
-    def say(self, data: bytes) -> None:
-        self.outbound.put(data)
+    def write(self, data: bytes) -> None:
+        self.outbound.append(data)
         self.flush()
 
-    def end_sending(self) -> None:
-        self.end_wanted = True
+    def shutdown_write(self) -> None:
+        self.shutdown_requested = True
         self.flush()
 
     def close(self, reset: bool = False) -> None:
-        if not self.open:
+        if not self.is_open:
             return
-        self.open = False
+        self.is_open = False
         self.loop.watch(self.sock, self.mask, 0, self)
         self.mask = 0
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.sock.close()
-        self.loop.free += 1
+        self.loop.free_descriptors += 1
--- a/thymedeck/net/lines.py
+++ b/thymedeck/net/lines.py
@@ -2,50 +2,50 @@
 
 from collections.abc import Iterator
 
-from .ring import Ring
+from .ring import RingBuffer
 
-LONGEST = 4096
+MAX_LINE_LENGTH = 4096
 PRINTABLE = bytes(range(0x21, 0x7F))
 
 
-def readable(word: bytes) -> bool:
+def is_printable_word(word: bytes) -> bool:
     """Whether it is a word at all, of nothing but printable characters."""
     return bool(word) and not word.translate(None, PRINTABLE)
 
 
-class Garbled(Exception):
+class LineTooLong(Exception):
     """What came is no line: too long."""
 
 
-def first_line(ring: Ring) -> bytes | None:
+def peek_line(ring: RingBuffer) -> bytes | None:
     """The ring's first line with its end, left in the ring; None while it is not whole."""
-    held = ring.copy(0, min(ring.held, LONGEST + 2))
-    end = held.find(b"\n")
+    data = ring.peek(0, min(ring.used, MAX_LINE_LENGTH + 2))
+    end = data.find(b"\n")
     if end < 0:
-        if len(held) >= LONGEST:
-            raise Garbled
+        if len(data) >= MAX_LINE_LENGTH:
+            raise LineTooLong
         return None
-    return held[: end + 1]
+    return data[: end + 1]
 
 
-class Lines:
+class LineSplitter:
     """Reads along as bytes pass."""
 
-    __slots__ = ("part",)
+    __slots__ = ("partial",)
 
     def __init__(self) -> None:
-        self.part = b""  # what has come of the present line
+        self.partial = b""  # what has come of the present line
 
-    def take(self, data: bytes) -> Iterator[bytes]:
+    def feed(self, data: bytes) -> Iterator[bytes]:
         """The lines that end within these bytes; what is too long to be one is passed over."""
         if b"\n" not in data:
-            self.part = (self.part + data)[-LONGEST:]
+            self.partial = (self.partial + data)[-MAX_LINE_LENGTH:]
             return
-        *whole, rest = (self.part + data).split(b"\n")
-        self.part = rest[-LONGEST:]
-        for line in whole:
+        *lines, rest = (self.partial + data).split(b"\n")
+        self.partial = rest[-MAX_LINE_LENGTH:]
+        for line in lines:
             yield line.rstrip(b"\r")
 
     @property
-    def between(self) -> bool:
-        return not self.part
+    def is_at_line_boundary(self) -> bool:
+        return not self.partial
--- a/thymedeck/net/load_reports.py
+++ b/thymedeck/net/load_reports.py
@@ -5,41 +5,41 @@
 line that comes a second after another on the same connection finds the beat, and what comes on it is no load.
 """
 
-BEAT = 10_000
-FOUND_WITHIN = 10  # of a second after the last line on the same connection: two loads rarely come so
-KEPT_WITHIN = 20  # of the next beat; once missed it has to be found again
+REPORT_PERIOD = 10_000
+DETECTION_TOLERANCE = 10  # of a second after the last line on the same connection: two loads rarely come so
+TRACKING_TOLERANCE = 20  # of the next beat; once missed it has to be found again
 
 
-class Figures:
+class SessionLoads:
     """What one session's connection has told."""
 
-    __slots__ = ("at", "before", "load")
+    __slots__ = ("last_at", "previous", "load")
 
     def __init__(self) -> None:
-        self.at = 0
+        self.last_at = 0
         self.load: float | None = None
-        self.before: float | None = None  # the load before that one
+        self.previous: float | None = None  # the load before that one
 
-    def take(self, now: int, load: float) -> None:
-        self.at, self.load, self.before = now, load, self.load
+    def record(self, now: int, load: float) -> None:
+        self.last_at, self.load, self.previous = now, load, self.load
 
-    def came_a_beat_ago(self, now: int) -> bool:
+    def is_one_period_old(self, now: int) -> bool:
         """Never of the first line: guards against all that are told as they stand, at a start together."""
-        return self.before is not None and abs(now - self.at - BEAT) <= FOUND_WITHIN
+        return self.previous is not None and abs(now - self.last_at - REPORT_PERIOD) <= DETECTION_TOLERANCE
 
 
-class Beat:
+class DelaySchedule:
     """Of one server."""
 
-    __slots__ = ("at",)
+    __slots__ = ("last_at",)
 
     def __init__(self) -> None:
-        self.at = -1
+        self.last_at = -1
 
-    def is_on(self, now: int, figures: Figures) -> bool:
+    def is_delay_report(self, now: int, loads: SessionLoads) -> bool:
         """Whether the line that comes now tells a message's time."""
-        kept = self.at >= 0 and abs(now - self.at - BEAT) <= KEPT_WITHIN
-        is_on = kept or figures.came_a_beat_ago(now)
-        if is_on:
-            self.at = now
-        return is_on
+        is_tracked = self.last_at >= 0 and abs(now - self.last_at - REPORT_PERIOD) <= TRACKING_TOLERANCE
+        is_report = is_tracked or loads.is_one_period_old(now)
+        if is_report:
+            self.last_at = now
+        return is_report
--- a/thymedeck/net/log.py
+++ b/thymedeck/net/log.py
@@ -15,8 +15,8 @@
         self.write = system.log()
         self.dropped = 0
 
-    def __call__(self, event: str, **more: Any) -> None:  # noqa: ANN401 (any value that JSON can hold)
-        line = {"time": round(self.time_ns() / 1e9, 4), "balancer": self.name, "event": event, **more}
+    def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401 (any value that JSON can hold)
+        line = {"time": round(self.time_ns() / 1e9, 4), "balancer": self.name, "event": event, **fields}
         if self.dropped:
             line["dropped"] = self.dropped
         try:
@@ -26,5 +26,5 @@
             # Guards against a reader of the log that has stopped: a line is dropped, the loop goes on.
             self.dropped += 1
 
-    def fault(self, fault: BaseException) -> None:
-        self("fault", text="".join(traceback.format_exception(fault))[-3000:])
+    def log_exception(self, error: BaseException) -> None:
+        self("fault", text="".join(traceback.format_exception(error))[-3000:])
--- a/thymedeck/net/ring.py
+++ b/thymedeck/net/ring.py
@@ -2,66 +2,66 @@
 
 import socket
 
-SIZE = 8192  # two of the longest lines: small, as every connection has one a direction
+DEFAULT_SIZE = 8192  # two of the longest lines: small, as every connection has one a direction
 
 
-class Ring:
-    __slots__ = ("at", "held", "size", "view")
+class RingBuffer:
+    __slots__ = ("start_position", "used", "size", "memory")
 
-    def __init__(self, size: int = SIZE) -> None:
+    def __init__(self, size: int = DEFAULT_SIZE) -> None:
         self.size = size
-        self.view: memoryview | None = None  # Guards against memory for peers that never say a thing.
-        self.at = 0
-        self.held = 0
+        self.memory: memoryview | None = None  # Guards against memory for peers that never say a thing.
+        self.start_position = 0
+        self.used = 0
 
     @property
-    def room(self) -> int:
-        return self.size - self.held
+    def free_space(self) -> int:
+        return self.size - self.used
 
-    def parts(self, start: int, length: int) -> list[memoryview]:
+    def segments(self, start: int, length: int) -> list[memoryview]:
         """The one or two stretches that hold so many bytes from this place on."""
-        if self.view is None:
-            self.view = memoryview(bytearray(self.size))
+        if self.memory is None:
+            self.memory = memoryview(bytearray(self.size))
         start %= self.size
         end = start + length
         if end <= self.size:
-            return [self.view[start:end]]
-        return [self.view[start:], self.view[: end - self.size]]
+            return [self.memory[start:end]]
+        return [self.memory[start:], self.memory[: end - self.size]]
 
-    def fill(self, sock: socket.socket) -> int:
+    def receive_from(self, sock: socket.socket) -> int:
         """Reads what there is room for; 0 is the end of the connection."""
-        got = sock.recvmsg_into(self.parts(self.at + self.held, self.room))[0]
-        self.held += got
-        return got
+        received = sock.recvmsg_into(self.segments(self.start_position + self.used, self.free_space))[0]
+        self.used += received
+        return received
 
-    def empty(self, sock: socket.socket) -> int:
-        sent = sock.sendmsg(self.parts(self.at, self.held))
-        self.skip(sent)
+    def send_to(self, sock: socket.socket) -> int:
+        sent = sock.sendmsg(self.segments(self.start_position, self.used))
+        self.discard(sent)
         return sent
 
-    def put(self, data: bytes) -> bool:
+    def append(self, data: bytes) -> bool:
         """Adds all of it or nothing."""
-        if len(data) > self.room:
+        if len(data) > self.free_space:
             return False
         done = 0
-        for part in self.parts(self.at + self.held, len(data)):
-            part[:] = data[done : done + len(part)]
-            done += len(part)
-        self.held += len(data)
+        for segment in self.segments(self.start_position + self.used, len(data)):
+            segment[:] = data[done : done + len(segment)]
+            done += len(segment)
+        self.used += len(data)
         return True
 
-    def copy(self, offset: int, length: int) -> bytes:
-        return b"".join(self.parts(self.at + offset, length))
+    def peek(self, offset: int, length: int) -> bytes:
+        return b"".join(self.segments(self.start_position + offset, length))
 
-    def take(self) -> bytes:
+    def read_all(self) -> bytes:
         """All that is held, out of the ring."""
-        data = self.copy(0, self.held)
-        self.skip(len(data))
+        data = self.peek(0, self.used)
+        self.discard(len(data))
         return data
 
-    def newest(self, length: int) -> bytes:
-        return self.copy(self.held - length, length)
+    def peek_last(self, length: int) -> bytes:
+        return self.peek(self.used - length, length)
 
-    def skip(self, length: int) -> None:
-        self.at = (self.at + length) % self.size
-        self.held -= length
+    def discard(self, length: int) -> None:
+        self.start_position = (self.start_position + length) % self.size
+        self.used -= length
--- a/thymedeck/net/servers.py
+++ b/thymedeck/net/servers.py
@@ -5,110 +5,110 @@
 from ..interface import ServerEntry
 from .connection import Connection
 from .endings import Ending
-from .lines import Garbled, Lines, first_line, readable
-from .load_reports import Beat, Figures
+from .lines import LineSplitter, LineTooLong, is_printable_word, peek_line
+from .load_reports import DelaySchedule, SessionLoads
 from .loop import WRITE
 
 if TYPE_CHECKING:
     from .clients import Client
     from .service import Service
 
-SAMPLES = 16  # of the message delay, kept of each server until it is told
+MAX_DELAY_SAMPLES = 16  # of the message delay, kept of each server until it is told
 
 
-class Known:
+class KnownServer:
     """A server by its index at the decisions' door."""
 
-    __slots__ = ("address", "beat", "delays", "entry", "slow", "standing", "stopped")
+    __slots__ = ("address", "delay_schedule", "delays", "entry", "is_slow", "sessions", "is_unresponsive")
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
         self.entry: ServerEntry | None = None  # as last listed
-        self.beat = Beat()
+        self.delay_schedule = DelaySchedule()
         self.delays: list[int] = []  # the latest; no deque, which takes 700 bytes even if empty
-        self.slow = False  # its messages were told to be slow
-        self.stopped = False  # lines wait there and none has been answered since
-        self.standing: dict[Client, None] = {}  # in the order in which they came to stand
+        self.is_slow = False  # its messages were told to be slow
+        self.is_unresponsive = False  # lines wait there and none has been answered since
+        self.sessions: dict[Client, None] = {}  # in the order in which they came to stand
 
-    def message_took(self, took: int) -> None:
-        self.delays.append(took)
-        if len(self.delays) > SAMPLES:
+    def add_delay_sample(self, delay: int) -> None:
+        self.delays.append(delay)
+        if len(self.delays) > MAX_DELAY_SAMPLES:
             del self.delays[0]
 
 
-class Dialled(Connection):
+class DialConnection(Connection):
     """One dial: up to the server's first line it may fail, from then on it carries the session."""
 
     def __init__(
-        self, service: "Service", client: "Client", server: int, connect_within: int, limit: int
+        self, service: "Service", client: "Client", server: int, connect_within: int, time_limit: int
     ) -> None:
         super().__init__(service.loop, service.loop.system.stream())
         self.service = service
         self.client = client
         self.server = server
-        self.began = self.loop.now()
-        self.sent = False  # the line's last byte was written
-        self.standing = False
-        self.over = False  # its ending has been told
-        self.lines = Lines()
-        self.figures = Figures()
-        self.last_word = Ending.SERVER_ENDED  # what its end would mean now
-        self.connect_due = self.loop.after(connect_within, self.not_up_in_time)
-        self.limit_due = self.loop.after(limit, self.limit_passed)
+        self.started_at = self.loop.now()
+        self.is_sent = False  # the line's last byte was written
+        self.is_established = False
+        self.is_over = False  # its ending has been told
+        self.line_splitter = LineSplitter()
+        self.loads = SessionLoads()
+        self.eof_ending = Ending.SERVER_ENDED  # what its end would mean now
+        self.connect_timer = self.loop.after(connect_within, self.on_connect_timeout)
+        self.limit_timer = self.loop.after(time_limit, self.on_time_limit)
 
     def start(self, line: bytes) -> None:
-        self.outbound.put(line)
-        if failed := self.connect(self.service.servers[self.server].address):
-            self.service.log("no_connect", server=self.server, why=failed)
+        self.outbound.append(line)
+        if error := self.connect(self.service.servers[self.server].address):
+            self.service.log("no_connect", server=self.server, why=error)
             self.finish(Ending.NOT_UP)
             return
-        self.await_more()
+        self.update_events()
 
-    def ready(self, mask: int) -> None:
-        if not self.sent and mask & WRITE:
+    def on_ready(self, mask: int) -> None:
+        if not self.is_sent and mask & WRITE:
             # Guards against a line sent on for a client whose end has come but waits unread.
             self.client.read()
-        super().ready(mask)
+        super().on_ready(mask)
 
-    def on_up(self) -> None:
+    def on_connected(self) -> None:
         """The line goes now, if it is still to go."""
-        self.connect_due.cancel()
-        if self.loop.now() >= self.limit_due.at:
-            self.limit_passed()
+        self.connect_timer.cancel()
+        if self.loop.now() >= self.limit_timer.expires_at:
+            self.on_time_limit()
         elif not self.service.may_send(self):
             self.finish(Ending.OVERTAKEN)
 
-    def on_unwritable(self) -> None:
+    def on_write_error(self) -> None:
         """Guards against a last word lost to the break that a write finds before it is read."""
-        while self.open and self.read():
+        while self.is_open and self.read():
             pass
-        if self.open:
-            self.on_broken()
+        if self.is_open:
+            self.on_connection_lost()
 
-    def on_emptied(self) -> None:
-        self.sent = True
+    def on_output_flushed(self) -> None:
+        self.is_sent = True
 
-    def not_up_in_time(self) -> None:
+    def on_connect_timeout(self) -> None:
         if self.connecting:
             self.finish(Ending.NOT_UP)
 
-    def limit_passed(self) -> None:
-        self.finish(Ending.GIVEN_UP if self.sent else Ending.CUT_UNSENT)
+    def on_time_limit(self) -> None:
+        self.finish(Ending.GIVEN_UP if self.is_sent else Ending.CUT_UNSENT)
 
-    def on_bytes(self, count: int) -> None:
-        if self.standing:
-            self.learn(count)
+    def on_data(self, count: int) -> None:
+        if self.is_established:
+            self.inspect_lines(count)
             self.client.flush()
             return
         try:
-            line = first_line(self.inbound)
-        except Garbled:
+            line = peek_line(self.inbound)
+        except LineTooLong:
             line = b""
         if line is None:
             return
         word, *rest = line.rstrip(b"\r\n").split(b" ")
-        if word == b"UP" and self.sent and rest and readable(rest[0]):
-            self.stand()
+        if word == b"UP" and self.is_sent and rest and is_printable_word(rest[0]):
+            self.establish()
         elif word == b"BUSY":
             self.finish(Ending.TURNED_AWAY)
         elif word == b"MOVE":
@@ -116,54 +116,54 @@
         else:
             self.finish(Ending.ERRED)
 
-    def stand(self) -> None:
-        self.limit_due.cancel()
-        self.connect_due.cancel()
-        self.standing = True
-        self.service.stands(self, self.loop.now() - self.began)
-        if self.open:
-            self.learn(self.inbound.held)
+    def establish(self) -> None:
+        self.limit_timer.cancel()
+        self.connect_timer.cancel()
+        self.is_established = True
+        self.service.on_dial_established(self, self.loop.now() - self.started_at)
+        if self.is_open:
+            self.inspect_lines(self.inbound.used)
             self.client.flush()
-            if self.service.late:
+            if self.service.moves_new_sessions:
                 self.client.move()
 
-    def learn(self, count: int) -> None:
+    def inspect_lines(self, count: int) -> None:
         """Reads along for loads, answers and last words; the bytes go on unchanged."""
-        for line in self.lines.take(self.inbound.newest(count)):
+        for line in self.line_splitter.feed(self.inbound.peek_last(count)):
             if line.startswith(b"LOAD "):
-                self.service.load_line(self, line)
+                self.service.on_load_line(self, line)
                 continue
             if line == b"BYE":
-                self.last_word = Ending.SERVED
+                self.eof_ending = Ending.SERVED
             elif line == b"MOVE":
-                self.last_word = Ending.SENT_AWAY
-            self.client.answered()
+                self.eof_ending = Ending.SENT_AWAY
+            self.client.on_server_line()
 
-    def on_end(self) -> None:
-        if self.standing:
-            self.client.server_ended(self.last_word)
+    def on_eof(self) -> None:
+        if self.is_established:
+            self.client.on_server_eof(self.eof_ending)
         else:
-            self.cut()
+            self.fail_before_answer()
 
-    def cut(self) -> None:
-        self.finish(Ending.CUT_SENT if self.sent else Ending.CUT_UNSENT)
+    def fail_before_answer(self) -> None:
+        self.finish(Ending.CUT_SENT if self.is_sent else Ending.CUT_UNSENT)
 
-    def on_broken(self) -> None:
-        if self.standing:
+    def on_connection_lost(self) -> None:
+        if self.is_established:
             # A server that has said its last word may reset instead of ending.
-            told = self.last_word is not Ending.SERVER_ENDED
-            self.client.server_broke(self.last_word if told else Ending.SERVER_BROKE)
+            is_announced = self.eof_ending is not Ending.SERVER_ENDED
+            self.client.on_server_lost(self.eof_ending if is_announced else Ending.SERVER_BROKE)
         elif self.connecting:
             self.finish(Ending.NOT_UP)
         else:
-            self.cut()
+            self.fail_before_answer()
 
     def finish(self, ending: Ending) -> None:
         """Closes the dial before anything else comes of it: never two are out at once."""
-        if self.over:
+        if self.is_over:
             return
-        self.over = True
-        self.connect_due.cancel()
-        self.limit_due.cancel()
+        self.is_over = True
+        self.connect_timer.cancel()
+        self.limit_timer.cancel()
         self.close()
-        self.service.dial_over(self, ending)
+        self.service.on_dial_ended(self, ending)
--- a/thymedeck/peers/carrier.py
+++ b/thymedeck/peers/carrier.py
@@ -32,11 +32,11 @@
         self.stated = stated
         self.envelope = Envelope(stated.fleet, list(stated.keys))
         self.peers = Peers(
-            stated, name, seed, self.loop.now(), system.time_ns() // 1_000_000, service.site.replicas
+            stated, name, seed, self.loop.now(), system.time_ns() // 1_000_000, service.deployment.replicas
         )
         self.sock = system.datagram(stated.listen)
         self.sock.setblocking(False)
-        self.loop.free -= 1
+        self.loop.free_descriptors -= 1
         self.taken = Window(stated.take_most)
         self.unusable: Counter[str] = Counter()
         self.dials: deque[tuple[int, int]] = deque()  # how many were made, at each count
@@ -61,7 +61,7 @@
             with contextlib.suppress(OSError):
                 self.sock.sendto(self.envelope.close(action.message), server_address(action.address))
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         for _ in range(AT_ONCE):
             if not self.taken.take(self.loop.now(), 1):
                 # Guards against a flood that takes the time of sessions: it is not even read.
@@ -95,11 +95,11 @@
         """Gathers what this balancer has; what others make of it is no concern of its own decisions."""
         self.loop.after(COUNT_EVERY, self.count)
         service, now = self.service, self.loop.now()
-        if service.stopping and not self.stopping:
+        if service.is_stopping and not self.stopping:
             self.stopping = True
             self.tell(Leaving())
-        window = service.site.overload_window
-        self.dials.append((now, service.dials))
+        window = service.deployment.overload_window
+        self.dials.append((now, service.dial_count))
         while len(self.dials) > 1 and self.dials[1][0] <= now - window:
             self.dials.popleft()
         names = {at: name for name, at in service.kinds.items()}
@@ -107,9 +107,9 @@
         servers: list[tuple[int, int]] = []
         for ident, index in service.server_index.items():
             server = service.servers[index]
-            if server.standing:
-                kinds[names.get(server.entry.kind, "") if server.entry else ""] += len(server.standing)
-                servers.append((server_key(ident), len(server.standing)))
+            if server.sessions:
+                kinds[names.get(server.entry.kind, "") if server.entry else ""] += len(server.sessions)
+                servers.append((server_key(ident), len(server.sessions)))
         servers.sort(key=lambda one: (-one[1], one[0]))
         most = self.stated.servers_most
         self.tell(
@@ -119,9 +119,9 @@
                     by_kind=sorted(kinds.items()),
                     by_server=servers[:most],
                     beyond=sum(count for _, count in servers[most:]),
-                    dials=service.dials - self.dials[0][1],
-                    draining=service.stopping,
-                    list_version=service.follower.version,
+                    dials=service.dial_count - self.dials[0][1],
+                    draining=service.is_stopping,
+                    list_version=service.list_client.version,
                 )
             )
         )
--- a/thymedeck/peers/start.py
+++ b/thymedeck/peers/start.py
@@ -4,7 +4,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ..net.config_file import Start, StartError
+from ..net.config_file import StartError, StartupConfig
 from ..net.system import System
 from .carrier import Carrier
 from .messages import is_name
@@ -14,11 +14,11 @@
     from ..net.service import Service
 
 
-def prepared(path: str, start: Start) -> Callable[["Service", System], None]:
+def prepared(path: str, start: StartupConfig) -> Callable[["Service", System], None]:
     """Raises StartError with one line."""
-    if not start.told.settings.limits.peers:
+    if not start.config.settings.limits.peers:
         raise StartError(f"{path}: the settings of this deployment forbid peers")
-    if not is_name(start.told.name):
+    if not is_name(start.config.name):
         raise StartError(f"{path}: {start.told.name!r} is no name for a peer")
     try:
         stated = read(path)
@@ -27,7 +27,7 @@
     return partial(join, stated, start)
 
 
-def join(stated: Stated, start: Start, service: "Service", system: System) -> None:
-    carrier = Carrier(service, stated, system, start.told.name, start.seed)
+def join(stated: Stated, start: StartupConfig, service: "Service", system: System) -> None:
+    carrier = Carrier(service, stated, system, start.config.name, start.seed)
     service.on_reload.append(carrier.reload_keys)
     service.log("peers_on", listen="{}:{}".format(*carrier.sock.getsockname()), fleet=stated.fleet)
--- a/tools/turns.py
+++ b/tools/turns.py
@@ -27,9 +27,9 @@
 sys.path.insert(0, os.getcwd())
 
 from tests.helpers import SETTINGS  # noqa: E402
-from thymedeck.net.config_file import read_start  # noqa: E402
-from thymedeck.net.servers import Dialled  # noqa: E402
-from thymedeck.net.service import Service, Wakeup  # noqa: E402
+from thymedeck.net.config_file import read_startup_config  # noqa: E402
+from thymedeck.net.servers import DialConnection  # noqa: E402
+from thymedeck.net.service import Service, SignalReceiver  # noqa: E402
 from thymedeck.net.system import System  # noqa: E402
 
 HEAD = (
@@ -62,23 +62,23 @@
 def daemon(file: str, out: str) -> None:
     """The program's own service; when a dial begins and when its first byte goes is noted beside it."""
     begun: list[tuple[str, str, float]] = []
-    connect, flush = Dialled.connect, Dialled.flush
+    connect, flush = DialConnection.connect, DialConnection.flush
 
-    def on_connect(dial: Dialled, address: tuple[str, int]) -> str:
-        begun.append(("dial", dial.client.words[1].decode(), time.monotonic()))
+    def on_connect(dial: DialConnection, address: tuple[str, int]) -> str:
+        begun.append(("dial", dial.client.open_words[1].decode(), time.monotonic()))
         return connect(dial, address)
 
-    def on_flush(dial: Dialled) -> None:
-        if not (dial.connecting or dial.sent or dial.over):
-            begun.append(("line", dial.client.words[1].decode(), time.monotonic()))
+    def on_flush(dial: DialConnection) -> None:
+        if not (dial.connecting or dial.is_sent or dial.is_over):
+            begun.append(("line", dial.client.open_words[1].decode(), time.monotonic()))
         flush(dial)
 
-    Dialled.connect, Dialled.flush = on_connect, on_flush
-    wakeup = Wakeup()
-    service = Service(read_start(file), Watched())
+    DialConnection.connect, DialConnection.flush = on_connect, on_flush
+    signals = SignalReceiver()
+    service = Service(read_startup_config(file), Watched())
     signal.signal(signal.SIGUSR1, lambda *_: (Timed.turns.clear(), Timed.ready.clear()))
     service.stop = service.loop.stop
-    service.serve(wakeup)
+    service.serve(signals)
     Path(out).write_text(json.dumps({"turns": Timed.turns, "ready": Timed.ready, "begun": begun}))
 
 
