--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -653,7 +653,7 @@
             "keepers: 2, at least 3 are needed to survive the loss of one",
         ),
         ({"keepers": ["127.0.0.1:1"] * 3}, "keepers: an address is listed twice"),
-        ({"keepers": ["there:1"] * 3}, "keepers: 'there' is no IPv4 address"),
+        ({"keepers": ["there:1"] * 3}, "keepers: 'there' is not an IPv4 address"),
         ({"ask_every": "1"}, "ask_every: '1' is not a figure with a unit of ms, s, min"),
         (
             {"ask_every": "2 s"},
--- a/thymedeck/__main__.py
+++ b/thymedeck/__main__.py
@@ -2,12 +2,12 @@
 
 import signal
 
-# Guards against a signal that ends this program before it can hear it: until then they wait.
-HEARD = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+# Blocked until the handlers are installed, so that an early signal does not kill the process.
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 if __name__ == "__main__":
-    signal.pthread_sigmask(signal.SIG_BLOCK, HEARD)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
-import argparse  # noqa: E402 (what is imported takes longer than a signal needs)
+import argparse  # noqa: E402 (signals may arrive during the imports)
 import os  # noqa: E402
 import sys  # noqa: E402
 
@@ -22,41 +22,43 @@
     parser = argparse.ArgumentParser(prog="thymedeck", description="A balancer for long-lived connections.")
     commands = parser.add_subparsers(dest="command", required=True)
     serve = commands.add_parser("serve", help="serve until SIGTERM")
-    check = commands.add_parser("check", help="read the configuration and say whether it can be used")
-    for one in (serve, check):
-        one.add_argument("--config", default=os.environ.get("LB_CONFIG"), help="its file (LB_CONFIG)")
-        one.add_argument(
-            "--peers", metavar="FILE", help="settings for peers (docs/peers.md); without it, none"
+    check = commands.add_parser("check", help="validate the configuration and exit")
+    for subparser in (serve, check):
+        subparser.add_argument(
+            "--config", default=os.environ.get("LB_CONFIG"), help="configuration file (default: LB_CONFIG)"
+        )
+        subparser.add_argument(
+            "--peers", metavar="FILE", help="peer settings (docs/peers.md); without it peers are off"
         )
     commands.add_parser("version", help="print the version")
-    given = parser.parse_args()
-    if given.command == "version":
+    arguments = parser.parse_args()
+    if arguments.command == "version":
         print(VERSION)
         return 0
     try:
-        if not given.config:
-            raise StartError("no configuration: name its file with --config or LB_CONFIG")
-        signals = SignalReceiver() if given.command == "serve" else None
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, HEARD)
-        start = read_startup_config(given.config)
+        if not arguments.config:
+            raise StartError("no configuration file given: use --config or LB_CONFIG")
+        signals = SignalReceiver() if arguments.command == "serve" else None
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
+        start = read_startup_config(arguments.config)
         join = None
-        if given.peers:
+        if arguments.peers:
             from .peers.start import prepared
 
-            join = prepared(given.peers, start)
+            join = prepared(arguments.peers, start)
         if signals is None:
-            print(f"{given.config}: ok, {len(start.told.settings.listeners)} listeners")
+            print(f"{arguments.config}: ok, {len(start.config.settings.listeners)} listeners")
             return 0
         system = System()
         service = Service(start, system)
         if join:
             join(service, system)
         service.serve(signals)
-    except StartError as why:
-        print(f"thymedeck: {why}", file=sys.stderr)
+    except StartError as error:
+        print(f"thymedeck: {error}", file=sys.stderr)
         return 2
-    except OSError as why:
-        print(f"thymedeck: can't serve: {why}", file=sys.stderr)
+    except OSError as error:
+        print(f"thymedeck: cannot serve: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/thymedeck/net/__init__.py
+++ b/thymedeck/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on sockets. Protocol words end in this package; every decision is the module's."""
+"""The balancer's network side: event loop, sockets and protocol. Placement decisions are in `policy`."""
--- a/thymedeck/net/clients.py
+++ b/thymedeck/net/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: the listening socket, and each client's connection from its first line to its end."""
+"""The client side: the listening socket and the connection of each client."""
 
 import errno
 import socket
@@ -13,19 +13,19 @@
 if TYPE_CHECKING:
     from .service import Service
 
-FIRST_LINE_TIMEOUT = 20_000  # from being taken in, whatever PINGs come before it
+FIRST_LINE_TIMEOUT = 20_000  # after the accept; PINGs do not extend it
 MAX_PINGS = 8
-ACCEPT_PAUSE = 500  # nothing is taken in for so long when there are no sockets left
-LINGER_TIMEOUT = 10_000  # the other side gets so long to read the last bytes
-MALFORMED_LINGER_TIMEOUT = 3_000  # and so long if it speaks something else
-HALF_CLOSE_TIMEOUT = 50_000  # a connection with one side ended is kept so long
-MOVE_TIMEOUT = 30_000  # for a line to end, so that MOVE comes between two: a silent server is borne as long
+ACCEPT_PAUSE = 500  # without accepting, after the process ran out of descriptors
+LINGER_TIMEOUT = 10_000  # for the client to read the last bytes
+MALFORMED_LINGER_TIMEOUT = 3_000  # the same for a peer that speaks another protocol
+HALF_CLOSE_TIMEOUT = 50_000  # for the remaining direction of a half-closed connection
+MOVE_TIMEOUT = 30_000  # for the server's current line to end before MOVE; as long as a silent server gets
 BACKLOG = 512
-ACCEPT_BATCH = 32  # connections taken in before others have their turn
+ACCEPT_BATCH = 32  # connections accepted in a row before other sockets are served
 
 
 class Acceptor:
-    """The listening socket."""
+    """The listening socket for clients."""
 
     def __init__(self, service: "Service", address: tuple[str, int]) -> None:
         self.service = service
@@ -44,7 +44,7 @@
         self.accept_batch()
 
     def accept_batch(self) -> bool:
-        """Whether more may wait."""
+        """Accepts up to ACCEPT_BATCH connections; returns whether more may wait."""
         for _ in range(ACCEPT_BATCH):
             try:
                 sock, _ = self.sock.accept()
@@ -53,7 +53,7 @@
             except (InterruptedError, ConnectionError):
                 continue
             except OSError as error:
-                # Guards against spinning on a connection that can't be taken in for want of sockets.
+                # The socket stays readable while nothing can be accepted; polling it would be a busy loop.
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
                     self.service.log("no_sockets")
                     self.service.loop.watch(self.sock, self.mask, 0, self)
@@ -70,7 +70,7 @@
         if loop.free_descriptors < loop.client_reserve:
             client.answer(b"BUSY\r\n", Ending.PUSHED_OUT)
         elif loop.max_unread_time() > STALL_THRESHOLD:
-            client.read()  # so that what waited with it is known to have waited
+            client.read()  # now, so that the time its line waited during the stall is counted
 
     def close(self) -> None:
         if self.is_open:
@@ -80,30 +80,32 @@
 
 
 class Client(Connection):
+    """A client's connection: waits for the OPEN line, then for a dial, then relays the session."""
+
     def __init__(self, service: "Service", sock: socket.socket) -> None:
         super().__init__(service.loop, sock)
         self.service = service
-        self.open_words: list[bytes] = []  # of its first line, without `d`
+        self.open_words: list[bytes] = []  # words of the OPEN line, with a placeholder for the value of `d`
         self.session_id = -1
-        self.restored_server = -1  # the server at which it stood before, if any
+        self.restored_server = -1  # server of a session that existed before this balancer started
         self.restore_deadline = 0
         self.dial: DialConnection | None = None
         self.is_established = False
         self.is_moving = False
         self.is_finished = False
-        self.unanswered_since = -1  # when the first line went on that nothing has come back for
+        self.unanswered_since = -1  # when the oldest unanswered line was passed on; -1: none
         self.ping_count = 0
-        self.answer_deadline = 0  # once its line has come
+        self.answer_deadline = 0  # set when the OPEN line has arrived
         self.timer = self.loop.after(FIRST_LINE_TIMEOUT, self.on_first_line_timeout)
         service.connections[self] = None
         service.evictable[self] = None
         self.update_events()
 
-    # Before the session stands
+    # Before the session is established
 
     def on_first_line_timeout(self) -> None:
         if self.inbound.used:
-            # Guards against a reset of what is just becoming a session: the line's end may be on its way.
+            # The rest of the line may be on its way; a plain close would reset it.
             self.answer(b"BUSY\r\n", Ending.IDLE)
         else:
             self.finish(Ending.IDLE)
@@ -117,7 +119,7 @@
         if self.is_finished:
             return
         if self.open_words:
-            # Guards against a peer that sends command after command: a client waits for its answer.
+            # Clients must wait for the answer before they send more.
             self.answer(b"ERR wait for the answer\r\n", Ending.MALFORMED)
             return
         try:
@@ -140,7 +142,7 @@
             self.finish(Ending.IDLE)
 
     def open_line(self, time_limit: int) -> bytes:
-        """The client's line with the limit of this dial, in whole milliseconds, as its `d`."""
+        """The client's OPEN line with this dial's time limit, in whole milliseconds, as `d`."""
         verb, identifier, key, parameters = self.open_words
         return b"%s %s %s %s\r\n" % (
             verb,
@@ -152,7 +154,7 @@
     # Answers
 
     def start_answer_timer(self, wait: int) -> None:
-        """Guards against a fault that would leave a client with no answer at all."""
+        """Starts the timer that answers the client if nothing else has done so."""
         self.timer = self.loop.after(wait, self.on_answer_timeout)
         self.answer_deadline = self.timer.expires_at
 
@@ -162,16 +164,16 @@
             self.answer(b"ERR no answer in time\r\n", Ending.ANSWERED)
 
     def answer(self, line: bytes, ending: Ending) -> None:
-        """A final answer other than a server's; then the connection ends."""
+        """Sends a final answer of the balancer's own and ends the connection."""
         if self.is_finished:
             return
         self.write(line)
         self.finish(ending, linger=True)
 
-    # From the first line of the server on
+    # The established session
 
     def on_established(self, dial: DialConnection) -> None:
-        """From here on the rings are shared: what the one reads the other writes."""
+        """Starts relaying: client and server share their ring buffers, what one reads the other writes."""
         self.is_established = True
         self.timer.cancel()
         self.outbound = dial.inbound
@@ -193,7 +195,7 @@
             self.close_if_complete()
 
     def move(self) -> None:
-        """Sends MOVE between two lines and ends both sides."""
+        """Asks the client to reconnect: sends MOVE between two lines of the server and ends both sides."""
         if self.is_finished or not self.is_established:
             return
         if not self.is_moving:
@@ -202,7 +204,7 @@
             self.timer = self.loop.after(MOVE_TIMEOUT, self.on_move_timeout)
         if self.try_send_move():
             self.is_moving = False
-            self.dial.discards_input = True  # the shared ring takes nothing more from the server
+            self.dial.discards_input = True  # the shared buffer takes nothing more from the server
             self.finish(Ending.MOVED, linger=True)
 
     def try_send_move(self) -> bool:
@@ -212,13 +214,13 @@
         self.finish(Ending.MOVE_OVERDUE)
 
     def on_server_eof(self, ending: Ending) -> None:
-        """The server has ended its sending, so do we once all is passed on."""
+        """The server has half-closed; the client's side follows once all bytes are passed on."""
         self.service.on_session_ended(self, ending)
         self.shutdown_write()
         self.start_half_close()
 
     def start_half_close(self) -> None:
-        """One side has ended: the other may go on for a while."""
+        """One direction has ended; the other may continue for a limited time."""
         self.is_moving = False
         self.timer.cancel()
         self.timer = self.loop.after(HALF_CLOSE_TIMEOUT, self.close_both)
@@ -229,7 +231,7 @@
             self.close_both()
 
     def on_server_lost(self, ending: Ending) -> None:
-        """Guards against clients that wait long after a break: they are asked to move, between two lines."""
+        """The server's connection broke: asks the client to move, if possible, so that it need not wait."""
         self.service.on_session_ended(self, ending)
         self.dial.close()
         if ending is Ending.SERVER_BROKE and self.try_send_move():
@@ -250,7 +252,7 @@
 
     def on_connection_lost(self) -> None:
         if self.is_finished:
-            self.close_both()  # else the loop would be told of it over and over
+            self.close_both()  # otherwise the selector would report the error again and again
             return
         if self.is_established:
             self.service.on_session_ended(self, Ending.CLIENT_BROKE)
@@ -264,16 +266,16 @@
         self.close(reset)
 
     def finish(self, ending: Ending, linger: bool = False) -> None:
-        """Ends the session's client side; told to the decisions if they still hold it."""
+        """Ends the client's side; `linger` lets the client read the last bytes first."""
         if self.is_finished:
             return
         self.is_finished = True
         self.timer.cancel()
         self.service.on_client_ended(self, ending)
         if linger and self.is_open:
-            # Guards against a reset that overtakes the last line when the client's next bytes come.
+            # Closing with unread input sends a reset, which could overtake the last line: input is discarded.
             self.discards_input = True
-            # Guards against work for what such a peer goes on sending at full speed: it is not read.
+            # A peer that speaks another protocol may keep sending at full speed: it is not read at all.
             self.reading_disabled = ending is Ending.MALFORMED
             self.partner = None
             self.service.evictable[self] = None
--- a/thymedeck/net/config_file.py
+++ b/thymedeck/net/config_file.py
@@ -1,4 +1,4 @@
-"""What a balancer is told at its start, read from its file of JSON."""
+"""The balancer's configuration file (JSON), and the format of server lists."""
 
 import contextlib
 import os
@@ -10,19 +10,15 @@
 
 from ..settings import Settings
 
-DECODE_ERRORS = (
-    ValueError,
-    msgspec.MsgspecError,
-    RecursionError,
-)  # what text that is nested too deep ends in
+DECODE_ERRORS = (ValueError, msgspec.MsgspecError, RecursionError)  # the last from deeply nested text
 
 
 class StartError(Exception):
-    """What the balancer was told at its start can't be used; the text says why."""
+    """The balancer cannot start with its configuration; the text says why."""
 
 
 class ListedServer(msgspec.Struct):
-    """A server in the list."""
+    """An entry of a server list."""
 
     id: str
     addr: str = ""
@@ -35,9 +31,11 @@
 
 
 class ServerList(msgspec.Struct):
+    """A server list, whole or with changes only, as the list service sends it."""
+
     version: int
     full: bool = False
-    servers: list[msgspec.Raw] = []  # of a Row each, looked at one by one
+    servers: list[msgspec.Raw] = []  # a ListedServer each; decoded one by one
 
 
 class Limits(msgspec.Struct):
@@ -45,6 +43,8 @@
 
 
 class BalancerConfig(msgspec.Struct):
+    """The configuration file; `known` is the list to start with."""
+
     name: str
     listen: str
     discovery: str
@@ -55,6 +55,8 @@
 
 
 class StartupConfig(msgspec.Struct, frozen=True):
+    """The configuration with the environment variables applied."""
+
     path: str
     config: BalancerConfig
     listen: tuple[str, int]
@@ -65,11 +67,11 @@
 def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise ValueError(f"{text!r} is no address with a port")
+        raise ValueError(f"{text!r} is not an address with a port (HOST:PORT)")
     return host, int(port)
 
 
-MAX_STARTED_MS = 1e15  # milliseconds, and MOST_WEIGHT: no server's figure is beyond these
+MAX_STARTED_MS = 1e15  # entries with larger values than these are rejected
 MAX_WEIGHT = 1e12
 
 decode_listed = msgspec.json.Decoder(ListedServer).decode
@@ -80,28 +82,29 @@
 
 
 def entry_id(raw: msgspec.Raw) -> str:
-    """The id of an entry that is not usable else, if it can be read."""
+    """The id of an entry that is otherwise unusable; empty if it cannot be read."""
     with contextlib.suppress(*DECODE_ERRORS):
         return msgspec.json.decode(raw, type=EntryId).id
     return ""
 
 
 def decode_entry(raw: msgspec.Raw) -> ListedServer:
+    """Decodes and validates a list entry; raises one of DECODE_ERRORS."""
     entry = decode_listed(raw)
     if not entry.id:
         raise ValueError("no id")
     if not (entry.started_ms < MAX_STARTED_MS and entry.weight < MAX_WEIGHT and abs(entry.cell) < 1 << 60):
-        raise ValueError("a figure is out of bounds")
+        raise ValueError("a value is out of bounds")
     return entry
 
 
 def server_address(text: str) -> tuple[str, int]:
-    """Only figures: guards against a name in the list, which would be looked up while all others wait."""
+    """Parses a numeric IPv4 address with a port; a name would need a look-up that blocks the loop."""
     host, port = parse_address(text)
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
-        raise ValueError(f"{host!r} is no IPv4 address") from None
+        raise ValueError(f"{host!r} is not an IPv4 address") from None
     if not port:
         raise ValueError("port 0")
     return host, port
@@ -110,13 +113,13 @@
 def read_config(path: str) -> BalancerConfig:
     config = msgspec.json.decode(Path(path).read_bytes(), type=BalancerConfig)
     if not config.settings.listeners:
-        raise ValueError("the settings name no listeners")
+        raise ValueError("the settings define no listeners")
     return config
 
 
 @contextlib.contextmanager
 def start_errors(path: str) -> Iterator[None]:
-    """Says in one line what is wrong with the file."""
+    """Turns read and decode errors into a StartError of one line."""
     try:
         yield
     except OSError as error:
@@ -126,7 +129,7 @@
 
 
 def read_startup_config(path: str) -> StartupConfig:
-    """Environment variables win over the file, as they are what the platform sets last."""
+    """Reads the file; environment variables override it, as the platform sets them last."""
     with start_errors(path):
         config = read_config(path)
         listen = parse_address(os.environ.get("LB_LISTEN", config.listen))
@@ -136,7 +139,7 @@
 
 
 def reread_config(path: str) -> tuple[BalancerConfig, tuple[str, int]]:
-    """A file that was replaced is newer than the environment: its discovery wins."""
+    """Reads the file for a reload; it is newer than the environment, so its discovery address applies."""
     with start_errors(path):
         config = read_config(path)
         return config, parse_address(config.discovery)
--- a/thymedeck/net/connection.py
+++ b/thymedeck/net/connection.py
@@ -1,4 +1,4 @@
-"""A connection: a socket with a ring buffer a direction, and callbacks for what happens to it."""
+"""A non-blocking connection: a socket with a ring buffer per direction, and callbacks for its events."""
 
 import errno
 import os
@@ -12,7 +12,7 @@
 
 
 class Connection:
-    """What is read comes into `inbound`, what `outbound` holds is written.
+    """Reads into `inbound` and writes what `outbound` holds.
 
     Two connections that pass bytes on share their rings: the one's `inbound` is the other's `outbound`.
     """
@@ -26,22 +26,22 @@
         self.mask = 0
         self.connecting = False
         self.received_eof = False
-        self.shutdown_requested = False  # our sending ends once the ring is empty
+        self.shutdown_requested = False  # half-close as soon as `outbound` is empty
         self.shutdown_sent = False
-        self.discards_input = False  # what comes is no longer wanted
-        self.reading_disabled = False  # and is not even read
-        self.partner: Connection | None = None  # reads into our `outbound`
+        self.discards_input = False  # input is read and dropped
+        self.reading_disabled = False  # input is not read at all
+        self.partner: Connection | None = None  # the connection that reads into our `outbound`
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         loop.free_descriptors -= 1
 
     def connect(self, address: tuple[str, int]) -> str:
-        """Begins to connect; returns why that failed at once, if it did."""
+        """Starts to connect; returns the error if that fails at once, otherwise an empty string."""
         self.connecting = True
         error = self.sock.connect_ex(address)
         return "" if error in (0, errno.EINPROGRESS) else os.strerror(error)
 
-    # Callbacks, for the kinds of connection to fill in
+    # Callbacks for subclasses
 
     def on_connected(self) -> None:
         pass
@@ -50,19 +50,19 @@
         pass
 
     def on_eof(self) -> None:
-        """The other side has ended its sending."""
+        """The peer has closed its sending side."""
 
     def on_connection_lost(self) -> None:
-        """The connection is gone, or never came up."""
+        """The connection broke or could not be established."""
 
     def on_write_error(self) -> None:
-        """The other side takes nothing more."""
+        """A write failed: the peer accepts nothing more."""
         self.on_connection_lost()
 
     def on_output_flushed(self) -> None:
-        """All that was to be written is written."""
+        """All pending output has been written."""
 
-    # Called by the loop
+    # Called by the event loop
 
     def on_ready(self, mask: int) -> None:
         if mask & WRITE and self.is_open:
@@ -77,7 +77,7 @@
             self.read()
 
     def read(self) -> bool:
-        """Whether something came, so that more may wait."""
+        """Reads once; returns whether data arrived, so that more may wait."""
         try:
             if self.discards_input:
                 count = len(self.sock.recv(65536))
@@ -100,7 +100,7 @@
         return count > 0
 
     def flush(self) -> None:
-        """Writes what can be written now; the rest goes when the socket takes more."""
+        """Writes as much as the socket takes now; the rest follows when it is writable again."""
         if not self.is_open or self.connecting:
             return
         written = 0
@@ -127,7 +127,7 @@
             self.partner.update_events()
 
     def update_events(self) -> None:
-        """Reads on only while there is room: a full ring holds the sender back."""
+        """Updates the watched events; reading pauses while the buffer is full (back-pressure)."""
         if not self.is_open:
             return
         mask = 0
--- a/thymedeck/net/endings.py
+++ b/thymedeck/net/endings.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection can end, and what each means to the decisions."""
+"""The ways in which a connection can end, and the outcome that each means for the policy."""
 
 from enum import Enum, auto
 
@@ -6,30 +6,30 @@
 
 
 class Ending(Enum):
-    # Of a server's connection before the session stands
-    NO_SOCKET = auto()  # none could be opened here
-    NOT_UP = auto()  # refused, or not up in time
-    OVERTAKEN = auto()  # up, but by then its server was to get nothing new
-    CUT_UNSENT = auto()  # broke or was given up before the line's last byte was written
-    CUT_SENT = auto()  # broke or ended after that, with no answer
+    # Of a dial before the session is established
+    NO_SOCKET = auto()  # no socket could be opened
+    NOT_UP = auto()  # connection refused or timed out
+    OVERTAKEN = auto()  # connected, but the server had started draining meanwhile
+    CUT_UNSENT = auto()  # broken or abandoned before the last byte of the OPEN line was written
+    CUT_SENT = auto()  # broken or closed after that, without an answer
     GIVEN_UP = auto()  # no answer in time
     TURNED_AWAY = auto()
-    ERRED = auto()  # the server's error, or an answer that is none
-    # Of a standing session
-    SERVED = auto()  # its server said that it is done
-    SENT_AWAY = auto()  # its server asked the client to move
-    SERVER_ENDED = auto()  # its server ended it and said nothing
+    ERRED = auto()  # the server answered with an error or with an invalid line
+    # Of an established session
+    SERVED = auto()  # the server sent BYE
+    SENT_AWAY = auto()  # the server asked the client to move
+    SERVER_ENDED = auto()  # the server closed without BYE or MOVE
     SERVER_BROKE = auto()
-    MOVED = auto()  # by us
-    MOVE_OVERDUE = auto()  # cut off: its server's line did not end, so that MOVE could not be said
-    # Of the client's side
+    MOVED = auto()  # by this balancer
+    MOVE_OVERDUE = auto()  # cut off: the server's line did not end, so that MOVE could not be sent
+    # Of the client's connection
     CLIENT_LEFT = auto()
     CLIENT_BROKE = auto()
-    ANSWERED = auto()  # with a refusal or a failure
+    ANSWERED = auto()  # with a refusal or an error
     MALFORMED = auto()
-    IDLE = auto()  # no line came
-    PUSHED_OUT = auto()  # to leave sockets to others
-    STOPPED = auto()  # this balancer ends
+    IDLE = auto()  # no OPEN line in time
+    PUSHED_OUT = auto()  # evicted, to free its socket for others
+    STOPPED = auto()  # this balancer shuts down
 
 
 OUTCOMES = {
--- a/thymedeck/net/lines.py
+++ b/thymedeck/net/lines.py
@@ -1,4 +1,4 @@
-"""Lines of text ended by CRLF, taken from bytes as they come."""
+"""Splits byte streams into lines that end with CRLF."""
 
 from collections.abc import Iterator
 
@@ -9,16 +9,16 @@
 
 
 def is_printable_word(word: bytes) -> bool:
-    """Whether it is a word at all, of nothing but printable characters."""
+    """Whether the word is not empty and consists of printable ASCII characters without spaces."""
     return bool(word) and not word.translate(None, PRINTABLE)
 
 
 class LineTooLong(Exception):
-    """What came is no line: too long."""
+    """No line end within the longest line."""
 
 
 def peek_line(ring: RingBuffer) -> bytes | None:
-    """The ring's first line with its end, left in the ring; None while it is not whole."""
+    """The first line including its end, left in the buffer; None while it is incomplete."""
     data = ring.peek(0, min(ring.used, MAX_LINE_LENGTH + 2))
     end = data.find(b"\n")
     if end < 0:
@@ -29,15 +29,15 @@
 
 
 class LineSplitter:
-    """Reads along as bytes pass."""
+    """Splits relayed bytes into lines without holding them back."""
 
     __slots__ = ("partial",)
 
     def __init__(self) -> None:
-        self.partial = b""  # what has come of the present line
+        self.partial = b""  # the current line so far
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The lines that end within these bytes; what is too long to be one is passed over."""
+        """Yields the lines that end within these bytes; of an overlong line only the last part is kept."""
         if b"\n" not in data:
             self.partial = (self.partial + data)[-MAX_LINE_LENGTH:]
             return
--- a/thymedeck/net/load_reports.py
+++ b/thymedeck/net/load_reports.py
@@ -1,35 +1,41 @@
-"""Tells apart the two notes that servers send under one word: a session's load, and what a message takes.
+"""Distinguishes the two reports that servers send as `LOAD X`: a session's load and a message delay.
 
-The settings promise both and the protocol has only `LOAD X`. A load is told when it changes. The milliseconds
-that a message takes at a slow server are told every second to the beat, on any one of its connections. So a
-line that comes a second after another on the same connection finds the beat, and what comes on it is no load.
+The settings offer both, and the protocol has one word for them. A load is reported when it changes. The delay
+of messages at a slow server, in milliseconds, is reported exactly once a second, on any of its connections.
+Therefore a line one second after another on the same connection reveals the phase of the delay reports, and
+lines in that phase are not loads. Times are tenths of a millisecond.
 """
 
 REPORT_PERIOD = 10_000
-DETECTION_TOLERANCE = 10  # of a second after the last line on the same connection: two loads rarely come so
-TRACKING_TOLERANCE = 20  # of the next beat; once missed it has to be found again
+DETECTION_TOLERANCE = (
+    10  # around one period after the last line of a connection; two loads are rarely so apart
+)
+TRACKING_TOLERANCE = 20  # around the next expected report; once one is missed, the phase must be found again
 
 
 class SessionLoads:
-    """What one session's connection has told."""
+    """The last loads reported on a session's connection."""
 
     __slots__ = ("last_at", "previous", "load")
 
     def __init__(self) -> None:
         self.last_at = 0
         self.load: float | None = None
-        self.previous: float | None = None  # the load before that one
+        self.previous: float | None = None  # the load before the last one
 
     def record(self, now: int, load: float) -> None:
         self.last_at, self.load, self.previous = now, load, self.load
 
     def is_one_period_old(self, now: int) -> bool:
-        """Never of the first line: guards against all that are told as they stand, at a start together."""
+        """Whether the last line came one period ago; never for the first line.
+
+        Many sessions are established at once at a start, and each first line reports a load.
+        """
         return self.previous is not None and abs(now - self.last_at - REPORT_PERIOD) <= DETECTION_TOLERANCE
 
 
 class DelaySchedule:
-    """Of one server."""
+    """The phase of one server's periodic delay reports."""
 
     __slots__ = ("last_at",)
 
@@ -37,7 +43,7 @@
         self.last_at = -1
 
     def is_delay_report(self, now: int, loads: SessionLoads) -> bool:
-        """Whether the line that comes now tells a message's time."""
+        """Whether a line that arrives now reports a message delay."""
         is_tracked = self.last_at >= 0 and abs(now - self.last_at - REPORT_PERIOD) <= TRACKING_TOLERANCE
         is_report = is_tracked or loads.is_one_period_old(now)
         if is_report:
--- a/thymedeck/net/log.py
+++ b/thymedeck/net/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard output."""
+"""The event log: one JSON line per event on standard output."""
 
 import traceback
 from typing import Any
@@ -9,6 +9,8 @@
 
 
 class EventLog:
+    """Writes events; lines that cannot be written at once are dropped and counted."""
+
     def __init__(self, name: str, system: System) -> None:
         self.time_ns = system.time_ns
         self.name = name
@@ -23,7 +25,7 @@
             self.write(orjson.dumps(line, default=str) + b"\n")
             self.dropped = 0
         except OSError:
-            # Guards against a reader of the log that has stopped: a line is dropped, the loop goes on.
+            # The reader of the log has stopped: the line is dropped rather than blocking the loop.
             self.dropped += 1
 
     def log_exception(self, error: BaseException) -> None:
--- a/thymedeck/net/loop.py
+++ b/thymedeck/net/loop.py
@@ -1,4 +1,4 @@
-"""The one loop: the selectors module, a monotonic clock in tenths of a millisecond, a heap of timers."""
+"""The event loop: a selector and a heap of timers, with times in tenths of a millisecond."""
 
 import heapq
 import selectors
@@ -9,18 +9,20 @@
 from .system import System
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
-BASE_DESCRIPTORS = 10  # that the program holds beside connections
-STALL_THRESHOLD = 1_000  # this process stood still if a timer is so late
-CLIENT_RESERVE_DIVISOR = 8  # the part of what it may hold that clients leave to dials and to the list
-DIAL_RESERVE = 2  # and what dials leave: for the call for the list, and for one at the door
+BASE_DESCRIPTORS = 10  # used by the process for other things than connections
+STALL_THRESHOLD = 1_000  # a timer that is this late shows that the process was stalled
+CLIENT_RESERVE_DIVISOR = 8  # clients leave this part of the descriptors to dials and the list request
+DIAL_RESERVE = 2  # descriptors that dials leave free: for the list request and for accepting one client
 
 
 class EventHandler(Protocol):
+    """Receives the events of a socket."""
+
     def on_ready(self, mask: int) -> None: ...
 
 
 class TimerHandle:
-    """A timer that is out; `cancel` makes it do nothing."""
+    """A pending timer; `cancel` drops its callback."""
 
     __slots__ = ("expires_at", "callback")
 
@@ -33,6 +35,8 @@
 
 
 class EventLoop:
+    """Dispatches socket events and timers in one thread, and counts the descriptors in use."""
+
     def __init__(
         self, on_exception: Callable[[BaseException], None], descriptor_limit: int, system: System
     ) -> None:
@@ -48,12 +52,12 @@
         self.on_exception = on_exception
         self.running = False
         self.polled_at = self.now()
-        self.longest_iteration = 0  # from one look at what is ready to the next, since somebody set it to 0
-        self.stall_duration = 0  # what is read now may have waited so long, as this process stood still
-        self.priority_handler: EventHandler | None = None  # has its turn before all others that are ready
+        self.longest_iteration = 0  # time between two polls; the reader resets it
+        self.stall_duration = 0  # data read now may have waited this long because the process was stalled
+        self.priority_handler: EventHandler | None = None  # dispatched before all others
 
     def set_descriptor_limit(self, descriptor_limit: int) -> None:
-        """How many descriptors the program may hold."""
+        """Sets how many descriptors the process may use."""
         self.free_descriptors += descriptor_limit - BASE_DESCRIPTORS - self.max_connections
         self.max_connections = descriptor_limit - BASE_DESCRIPTORS
         self.client_reserve = descriptor_limit // CLIENT_RESERVE_DIVISOR
@@ -62,17 +66,18 @@
         return self.monotonic_ns() // 100_000
 
     def after(self, wait: int, callback: Callable[[], None]) -> TimerHandle:
+        """Calls the callback once this time has passed."""
         timer = TimerHandle(self.now() + max(wait, 0), callback)
         self.timer_count += 1
         heapq.heappush(self.timers, (timer.expires_at, self.timer_count, timer))
         return timer
 
     def max_unread_time(self) -> int:
-        """For how long at the most what is read now may have lain unread."""
+        """Upper bound for the time that data read now has waited in the socket."""
         return self.stall_duration + self.now() - self.polled_at
 
     def watch(self, sock: socket.socket | int, old_mask: int, mask: int, handler: EventHandler) -> None:
-        """Changes what is awaited of a socket from the mask before to this one; 0 is nothing."""
+        """Changes the events watched on a socket from `old_mask` to `mask`; 0: none."""
         if mask == old_mask:
             return
         if not old_mask:
@@ -91,12 +96,12 @@
         timers = self.timers
         while timers and timers[0][2].callback is None:
             heapq.heappop(timers)
-        # A timer is never early: what is left of its tenth is waited for too.
+        # Rounded up, so that a timer is never early.
         wait = max(timers[0][0] + 1 - self.now(), 0) / 10_000 if timers else None
         self.poll(wait)
         if timers and self.now() - timers[0][0] > STALL_THRESHOLD:
-            # Guards against what waits to be read being taken for missing: this process stood still, in its
-            # wait or in the middle of its turn.
+            # The process was stalled, and what is late may have arrived meanwhile: it is read before the
+            # timers run.
             self.poll(0)
         now = self.now()
         while timers and timers[0][0] <= now:
@@ -112,14 +117,13 @@
         self.stall_duration = now - self.polled_at if late else 0
         self.polled_at = now
         if len(ready_events) > 1 and self.priority_handler is not None:
-            # Guards against sessions sent by a list that is old where what is new waits to be read, as after
-            # this process stood still.
+            # After a stall a new server list may be waiting; sessions must not be placed by the old one.
             ready_events.sort(key=lambda event: event[0].data is not self.priority_handler)
         for key, mask in ready_events:
             self.run_guarded(key.data.on_ready, mask)
 
     def run_guarded(self, callback: Callable[..., None], *arguments: object) -> None:
-        """Guards against one connection or action whose handling fails and stops all others."""
+        """Calls and reports exceptions, so that one failing handler does not stop the others."""
         try:
             callback(*arguments)
         except Exception as error:
--- a/thymedeck/net/ring.py
+++ b/thymedeck/net/ring.py
@@ -1,8 +1,8 @@
-"""A ring buffer of fixed size, filled from one socket and emptied into another."""
+"""A ring buffer of fixed size, filled from one socket and drained into another."""
 
 import socket
 
-DEFAULT_SIZE = 8192  # two of the longest lines: small, as every connection has one a direction
+DEFAULT_SIZE = 8192  # two of the longest lines; small, as every connection has one per direction
 
 
 class RingBuffer:
@@ -10,7 +10,7 @@
 
     def __init__(self, size: int = DEFAULT_SIZE) -> None:
         self.size = size
-        self.memory: memoryview | None = None  # Guards against memory for peers that never say a thing.
+        self.memory: memoryview | None = None  # allocated on first use: many peers never send anything
         self.start_position = 0
         self.used = 0
 
@@ -19,7 +19,7 @@
         return self.size - self.used
 
     def segments(self, start: int, length: int) -> list[memoryview]:
-        """The one or two stretches that hold so many bytes from this place on."""
+        """The one or two segments that hold `length` bytes from `start` on."""
         if self.memory is None:
             self.memory = memoryview(bytearray(self.size))
         start %= self.size
@@ -29,7 +29,7 @@
         return [self.memory[start:], self.memory[: end - self.size]]
 
     def receive_from(self, sock: socket.socket) -> int:
-        """Reads what there is room for; 0 is the end of the connection."""
+        """Reads as much as fits; returns the number of bytes, 0 at the end of the stream."""
         received = sock.recvmsg_into(self.segments(self.start_position + self.used, self.free_space))[0]
         self.used += received
         return received
@@ -40,7 +40,7 @@
         return sent
 
     def append(self, data: bytes) -> bool:
-        """Adds all of it or nothing."""
+        """Appends all of the data or, without enough space, nothing."""
         if len(data) > self.free_space:
             return False
         done = 0
@@ -54,7 +54,7 @@
         return b"".join(self.segments(self.start_position + offset, length))
 
     def read_all(self) -> bytes:
-        """All that is held, out of the ring."""
+        """Returns and removes all data."""
         data = self.peek(0, self.used)
         self.discard(len(data))
         return data
--- a/thymedeck/net/serverlist.py
+++ b/thymedeck/net/serverlist.py
@@ -1,4 +1,7 @@
-"""The list of servers: calls over HTTP, and a watch that is kept alive by the next call in time."""
+"""Client of the list service: HTTP requests, and a watch by long polling.
+
+A watch lasts as long as each answer is followed by the next request in time.
+"""
 
 from typing import TYPE_CHECKING, Any
 
@@ -15,12 +18,12 @@
 
 PATH = "/registry/instances"
 CONNECT_TIMEOUT = 10_000
-ANSWER_TIMEOUT = 20_000  # for a call that asks for no wait, and for an answer that has begun
-WATCH_TIMEOUT_MARGIN = (
-    10_000  # beyond the wait: what a silent watch misses counts as told 2 s after that is over
-)
+ANSWER_TIMEOUT = 20_000  # for a request without wait, and for an answer that has begun
+# Beyond a watch's wait. Changes that a silent watch misses count as delivered 2 s after its wait is over.
+WATCH_TIMEOUT_MARGIN = 10_000
 MAX_WATCH_WAIT = 600_000
-STALE_CONNECTION_WINDOW = 500  # a kept connection that ends this soon after a call had been ended before it
+# If a reused connection ends this soon after a request, the service had closed it before the request arrived.
+STALE_CONNECTION_WINDOW = 500
 MAX_ANSWER_SIZE = 8 << 20
 MAX_HEAD_SIZE = 1 << 16
 
@@ -28,7 +31,7 @@
 
 
 class ListConnection(Connection):
-    """A connection to discovery, kept for one call after another."""
+    """A keep-alive connection to the list service; carries one request at a time."""
 
     def __init__(self, loop: EventLoop, list_client: "ListClient", address: tuple[str, int]) -> None:
         super().__init__(loop, loop.system.stream())
@@ -41,12 +44,12 @@
         self.stale_until = 0 if self.connecting else self.loop.now() + STALE_CONNECTION_WINDOW
         self.parser: Any = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.received_size = 0  # bytes of the answer
-        self.has_received = False  # something of the answer has come
-        self.is_complete = False  # the answer is whole; the connection is no longer needed for it
-        self.parsed_answer: tuple[int, bytes, bool] | None = None  # not yet given to the list client
-        self.is_head_complete = False  # its head is whole
-        self.has_length = False  # and tells where the body ends
+        self.received_size = 0  # bytes of the answer so far
+        self.has_received = False  # any byte of the answer
+        self.is_complete = False  # the answer is complete
+        self.parsed_answer: tuple[int, bytes, bool] | None = None  # not yet passed to the list client
+        self.is_head_complete = False
+        self.has_length = False  # the head tells where the body ends
         self.wait = wait
         self.started_at = self.loop.now()
         if not self.connecting:
@@ -65,7 +68,10 @@
 
     @property
     def pending_duration(self) -> int:
-        """For how long it may miss what it asks for: a watch does while its turn may still be to come."""
+        """For how long the balancer may have missed changes; 0 for a watch that was served until it broke.
+
+        A watch younger than ANSWER_TIMEOUT may still be queued at the service and counts as unserved.
+        """
         pending_duration = self.loop.now() - self.started_at
         return pending_duration if pending_duration < ANSWER_TIMEOUT or not self.wait else 0
 
@@ -73,7 +79,7 @@
         self.start_answer_timer()
 
     def read(self) -> bool:
-        """All that waits: guards against sessions sent by the old list between two parts of the new one."""
+        """Reads all available data, so that no session is placed by the old list between parts of the new."""
         while self.is_open and super().read():
             pass
         return False
@@ -83,7 +89,7 @@
         data = self.inbound.read_all()
         self.received_size += count
         if self.received_size > (MAX_ANSWER_SIZE if self.is_head_complete else MAX_HEAD_SIZE):
-            # Guards against what has no end, of which `read` would go on taking while all else waits.
+            # `read` would go on reading an endless answer while all other work waits.
             self.fail("answer too large")
             return
         try:
@@ -92,14 +98,14 @@
             if self.parsed_answer is None:
                 self.fail(f"no HTTP: {error}")
                 return
-            # Guards against a list lost to what comes behind it; the connection is not used again.
+            # Garbage after a complete answer does not invalidate it, but the connection is not reused.
             self.parsed_answer = (*self.parsed_answer[:2], False)
         if self.parsed_answer is not None:
-            # The parser is left before the next call begins.
+            # Not within the parser's callback, as the next request replaces the parser.
             parsed_answer, self.parsed_answer = self.parsed_answer, None
             self.list_client.on_answer(self, *parsed_answer)
         elif self.wait:
-            # Guards against an answer that never ends: it would be borne as long as the watch may wait.
+            # An answer that has begun must end soon, not within the time that the watch may wait.
             self.wait, self.started_at = 0, self.loop.now()
             self.start_answer_timer()
 
@@ -120,7 +126,7 @@
 
     def on_eof(self) -> None:
         if self.is_head_complete and not (self.has_length or self.is_complete):
-            # Guards against a list never taken from a service that ends each answer by its connection's end.
+            # An answer without a length is complete when its connection ends.
             self.on_message_complete()
             self.list_client.on_answer(self, *self.parsed_answer)
         else:
@@ -142,14 +148,17 @@
         if self.is_complete:
             return
         if not self.has_received and self.loop.now() < self.stale_until:
-            # Guards against a watch lost to a connection that was ended as the next call went out on it.
+            # The service closed the idle connection while the request was on its way: this is no failure.
             self.list_client.retry(self, self.wait)
         else:
             self.list_client.on_request_failed(self, reason)
 
 
 class ListClient:
-    """Follows the list while the decisions want it."""
+    """Keeps the server list current: a first request, then watches until one fails.
+
+    After a failure the policy decides when to start again.
+    """
 
     def __init__(
         self, service: "Service", address: tuple[str, int], deployment: interface.Deployment, version: int
@@ -157,25 +166,25 @@
         self.service = service
         self.address = address
         self.wait = min(deployment.list_poll_within // 2, MAX_WATCH_WAIT)
-        # Where lists are pushed what is there counts as told, whether or not a call hangs.
+        # Pushed lists count as delivered even while a request hangs, so that less time is left for it.
         self.max_timeout_margin = (
             ANSWER_TIMEOUT if deployment.list_on_request else deployment.drain_grace // 2
         )
         self.version = version
         self.connection: ListConnection | None = None
         self.is_started = False
-        self.is_scheduled = False  # the call that is out is the decisions' own, spread by them
+        self.is_scheduled = False  # the pending request was scheduled by the policy, with jitter
 
     def start(self, is_scheduled: bool = False) -> None:
-        """Asks what has changed since, without waiting; then watches."""
+        """Requests the changes since the known version, without wait; then watches."""
         if not self.is_started:
             self.is_started = True
             self.send_request(0, is_scheduled)
 
     def switch_to(self, address: tuple[str, int]) -> None:
-        """Asks another address for the whole list; nothing of the old one counts any more."""
+        """Moves to another list service and requests the whole list; answers of the old one are dropped."""
         if address == self.address:
-            return  # it is watched, or the next call has its time
+            return  # a watch is open or the next request is scheduled
         self.close()
         self.address = address
         self.version = -1
@@ -191,7 +200,7 @@
         try:
             self.connection = self.connection or ListConnection(self.service.loop, self, self.address)
         except OSError as error:
-            self.fail(str(error))  # no socket is left
+            self.fail(str(error))  # out of descriptors
             return
         self.service.log("list_asked", version=self.version, wait=wait // 10)
         self.connection.send_request(target, host, wait)
@@ -205,7 +214,7 @@
         try:
             server_list = decode_list(body)
         except DECODE_ERRORS as error:
-            # The next call asks for the whole list, in case the version is what is wrong.
+            # The next request is for the whole list, in case the version is at fault.
             self.version = -1
             self.fail(f"bad answer: {error}")
             return
@@ -213,16 +222,16 @@
             connection.close()
             self.connection = None
         self.version = server_list.version
-        # The watch goes on before the answer is worked through, as it ends if the next call is late.
+        # The next request goes out before the answer is processed: a late one would end the watch.
         self.send_request(self.wait)
         self.service.on_list(server_list)
 
     def request_timeout(self, wait: int) -> int:
-        """How long a call may take that asks for this wait."""
+        """How long a request with this wait may take."""
         return wait + min(WATCH_TIMEOUT_MARGIN if wait else ANSWER_TIMEOUT, self.max_timeout_margin)
 
     def on_watch_silent(self, connection: ListConnection) -> None:
-        """A watch that has fallen silent is broken: it is opened anew at once, as the pages ask."""
+        """Opens a silent watch again at once, as the protocol requires."""
         self.service.log("list_silent", version=self.version, wait=connection.wait // 10)
         self.retry(connection, 0)
 
--- a/thymedeck/net/servers.py
+++ b/thymedeck/net/servers.py
@@ -1,4 +1,4 @@
-"""The servers' side: a connection for each dial, and what is learnt of each server from its lines."""
+"""The server side: a connection for each dial, and what is known of each server."""
 
 from typing import TYPE_CHECKING
 
@@ -13,11 +13,11 @@
     from .clients import Client
     from .service import Service
 
-MAX_DELAY_SAMPLES = 16  # of the message delay, kept of each server until it is told
+MAX_DELAY_SAMPLES = 16  # message delays kept per server until the next report
 
 
 class KnownServer:
-    """A server by its index at the decisions' door."""
+    """A listed server; its position in `Service.servers` is the policy's index for it."""
 
     __slots__ = ("address", "delay_schedule", "delays", "entry", "is_slow", "sessions", "is_unresponsive")
 
@@ -25,10 +25,10 @@
         self.address = address
         self.entry: ServerEntry | None = None  # as last listed
         self.delay_schedule = DelaySchedule()
-        self.delays: list[int] = []  # the latest; no deque, which takes 700 bytes even if empty
-        self.is_slow = False  # its messages were told to be slow
-        self.is_unresponsive = False  # lines wait there and none has been answered since
-        self.sessions: dict[Client, None] = {}  # in the order in which they came to stand
+        self.delays: list[int] = []  # the latest; an empty deque would take 700 bytes
+        self.is_slow = False  # slow messages have been reported
+        self.is_unresponsive = False  # lines are waiting and none has been answered since
+        self.sessions: dict[Client, None] = {}  # in the order in which they were established
 
     def add_delay_sample(self, delay: int) -> None:
         self.delays.append(delay)
@@ -37,7 +37,7 @@
 
 
 class DialConnection(Connection):
-    """One dial: up to the server's first line it may fail, from then on it carries the session."""
+    """One dial: it may fail until the server's first line; from then on it carries the session."""
 
     def __init__(
         self, service: "Service", client: "Client", server: int, connect_within: int, time_limit: int
@@ -47,12 +47,12 @@
         self.client = client
         self.server = server
         self.started_at = self.loop.now()
-        self.is_sent = False  # the line's last byte was written
+        self.is_sent = False  # the last byte of the OPEN line was written
         self.is_established = False
-        self.is_over = False  # its ending has been told
+        self.is_over = False  # its ending has been reported
         self.line_splitter = LineSplitter()
         self.loads = SessionLoads()
-        self.eof_ending = Ending.SERVER_ENDED  # what its end would mean now
+        self.eof_ending = Ending.SERVER_ENDED  # what an end of stream would mean now
         self.connect_timer = self.loop.after(connect_within, self.on_connect_timeout)
         self.limit_timer = self.loop.after(time_limit, self.on_time_limit)
 
@@ -66,12 +66,12 @@
 
     def on_ready(self, mask: int) -> None:
         if not self.is_sent and mask & WRITE:
-            # Guards against a line sent on for a client whose end has come but waits unread.
+            # The client may have closed, with the end of stream still unread.
             self.client.read()
         super().on_ready(mask)
 
     def on_connected(self) -> None:
-        """The line goes now, if it is still to go."""
+        """The OPEN line is sent now, unless the time is up or the server has started draining."""
         self.connect_timer.cancel()
         if self.loop.now() >= self.limit_timer.expires_at:
             self.on_time_limit()
@@ -79,7 +79,7 @@
             self.finish(Ending.OVERTAKEN)
 
     def on_write_error(self) -> None:
-        """Guards against a last word lost to the break that a write finds before it is read."""
+        """A failed write may find a reset before the server's last line was read: reads what is there."""
         while self.is_open and self.read():
             pass
         if self.is_open:
@@ -128,7 +128,7 @@
                 self.client.move()
 
     def inspect_lines(self, count: int) -> None:
-        """Reads along for loads, answers and last words; the bytes go on unchanged."""
+        """Inspects the relayed lines for loads, answers and BYE or MOVE; the bytes pass unchanged."""
         for line in self.line_splitter.feed(self.inbound.peek_last(count)):
             if line.startswith(b"LOAD "):
                 self.service.on_load_line(self, line)
@@ -150,7 +150,7 @@
 
     def on_connection_lost(self) -> None:
         if self.is_established:
-            # A server that has said its last word may reset instead of ending.
+            # A server may reset after BYE or MOVE instead of closing.
             is_announced = self.eof_ending is not Ending.SERVER_ENDED
             self.client.on_server_lost(self.eof_ending if is_announced else Ending.SERVER_BROKE)
         elif self.connecting:
@@ -159,7 +159,7 @@
             self.fail_before_answer()
 
     def finish(self, ending: Ending) -> None:
-        """Closes the dial before anything else comes of it: never two are out at once."""
+        """Closes the dial before it is reported, so that a session never has two dials at once."""
         if self.is_over:
             return
         self.is_over = True
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -1,4 +1,7 @@
-"""One balancer on sockets: turns what happens to connections into events, and actions into what they do."""
+"""The balancer service: turns socket activity into policy events and carries out the policy's actions.
+
+Times are whole tenths of a millisecond unless a name says otherwise.
+"""
 
 import contextlib
 import os
@@ -42,37 +45,35 @@
     "DRAINING": interface.ServerState.DRAINING,
     "DELETED": interface.ServerState.GONE,
 }
-RESTORE_TIMEOUT = 35 * SECOND  # for a session that stood before to be up again
+RESTORE_TIMEOUT = 35 * SECOND  # for re-establishing a session that existed before this balancer started
 RESTORE_RETRY_PAUSE = 2_000
-MAX_DEADLINE_MS = 86_400_000  # that a client may state, in milliseconds
-MAX_LOAD = 1e12  # a figure beyond this, or none at all, is no load
-DRAIN_SPREAD = SECOND  # within which the sessions of a server that drains are moved
-CHECK_INTERVAL = SECOND // 2  # at the standing sessions of each server
-LIST_BATCH = 256  # entries of a list, in one turn
-LONG_ITERATION = SECOND // 10  # of the loop, and LONG_DECISION: both are logged, as all else waits meanwhile
-LONG_DECISION = SECOND // 20
-SILENCE_TIMEOUT = (
-    3 * SECOND
-)  # a line that nothing has come back for so long tells of a connection that is dead
-UNRESPONSIVE_SILENCE_TIMEOUT = SECOND  # the same where its server has answered nobody lately
-MIN_UNANSWERED = (
-    3  # lines without an answer at a server that has answered none lately: it has stopped, not they
-)
-ACCEPT_AFTER_STOP = 5_000  # after the signal to stop, as the front notices late
+MAX_DEADLINE_MS = 86_400_000  # largest deadline accepted from a client
+MAX_LOAD = 1e12  # larger or non-numeric loads are ignored
+DRAIN_SPREAD = SECOND  # time over which the sessions of a draining server are moved
+CHECK_INTERVAL = SECOND // 2  # between checks of the established sessions of each server
+LIST_BATCH = 256  # list entries passed to the policy in one loop iteration
+LONG_ITERATION = SECOND // 10  # logged from this duration on, as all other work waits meanwhile
+LONG_DECISION = SECOND // 20  # likewise for a single decision
+# A connection whose line has been unanswered for this long is taken to be dead.
+SILENCE_TIMEOUT = 3 * SECOND
+UNRESPONSIVE_SILENCE_TIMEOUT = SECOND  # the same for a server that has not answered anyone lately
+# With this many unanswered lines and no recent answer, the server is at fault rather than the connections.
+MIN_UNANSWERED = 3
+ACCEPT_AFTER_STOP = 5_000  # the front end keeps sending clients for a while after the stop signal
 MAX_STOP_WAIT = 3 * SECOND
-STOP_RESERVE = 3_000  # left when the process ends before it could be killed
-STOP_MOVE_SPREAD = SECOND  # within which all standing sessions are moved then
-ANSWER_RESERVE = 5_000  # for what is still to be answered or in the middle of a line after that
+STOP_RESERVE = 3_000  # the process exits this long before it would be killed
+STOP_MOVE_SPREAD = SECOND  # time over which all established sessions are moved at shutdown
+ANSWER_RESERVE = 5_000  # time after that for pending answers and unfinished lines
 
 
 class SignalReceiver:
-    """Signals, kept from its making on and heard by the loop once that runs."""
+    """Collects signals from its construction on and passes them to the service once its loop runs."""
 
     def __init__(self) -> None:
         self.received_signals: set[int] = set()
         self.service: Service | None = None
-        # A pipe, as there are platforms that refuse Unix sockets, and others that carry UDP only between
-        # balancers: there a datagram to itself was taken and never came, and no signal was heard.
+        # A pipe, because some platforms refuse Unix sockets and others carry UDP only between balancers: a
+        # datagram that the process sent to itself was accepted but never delivered, and signals were lost.
         self.read_end, write_end = os.pipe()
         os.set_blocking(self.read_end, False)
         os.set_blocking(write_end, False)
@@ -92,70 +93,71 @@
         self.handle_signals()
 
     def poll(self) -> None:
-        """Guards against a platform that loses what wakes the loop: the signal is heard a little later."""
+        """Handles signals whose wake-up byte the platform lost, at the price of a short delay."""
         self.service.loop.after(CHECK_INTERVAL, self.poll)
         if self.received_signals:
             self.handle_signals()
 
     def handle_signals(self) -> None:
-        # Guards against a signal lost among many: those of a kind that came together are one.
+        # Signals of one kind that arrive together count once; none is lost among many.
         received_signals, self.received_signals = self.received_signals, set()
         if signal.SIGHUP in received_signals:
-            # Guards against a fault that loses the stop that came with it.
+            # An exception during the reload must not lose a stop signal received with it.
             self.service.loop.run_guarded(self.service.reload)
         if received_signals - {signal.SIGHUP}:
             self.service.stop()
 
 
 def descriptor_limit(config: BalancerConfig) -> int:
-    """How many the program may hold, of what it is told and what the system grants the less."""
+    """The number of descriptors the process may use: the lower of the configured and the system limit."""
     granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return config.limits.sockets if granted == resource.RLIM_INFINITY else min(granted, config.limits.sockets)
 
 
 def has_changed_beyond_weight(before: interface.ServerEntry | None, entry: interface.ServerEntry) -> bool:
-    """Whether more than the weight has changed, which a list may renew for all its servers each second."""
+    """Whether more than the weight changed; lists may update the weights of all servers every second."""
     return before is None or replace(before, weight=entry.weight) != entry
 
 
 class Service:
+    """One balancer: owns the event loop, the connections and the policy."""
+
     def __init__(self, start: StartupConfig, system: System) -> None:
         config = start.config
         settings = self.settings = config.settings
         self.log = EventLog(config.name, system)
         self.config_path = start.path
         self.loop = EventLoop(self.log.log_exception, descriptor_limit(config), system)
-        # The protocol has no probes; connections end here.
+        # The protocol has no probes, and client connections are terminated here.
         self.deployment = replace(deployment_from(settings), may_probe=False, is_passthrough=False)
         self.balancer = Balancer(start.seed, self.deployment)
         self.uniform = random.Random(start.seed).uniform
         self.listeners = {listener.name.encode(): index for index, listener in enumerate(settings.listeners)}
         self.zones = {name: index for index, name in enumerate(settings.zones)}
         self.kinds = {name: index for index, name in enumerate(settings.kinds)}
-        self.on_reload: list[Callable[[], None]] = []  # what else reads its files again
-        self.loop_time_offset = self.loop.now() - system.time_ns() // 100_000
+        self.on_reload: list[Callable[[], None]] = []  # called after a reload of the configuration
+        self.loop_time_offset = self.loop.now() - system.time_ns() // 100_000  # from Unix to loop time
         self.server_index: dict[str, int] = {}
         self.servers: list[KnownServer] = []
-        self.pending_updates: dict[
-            int, tuple[ListedServer | None, interface.ListKind]
-        ] = {}  # listed, and still to be told
-        self.active_servers: dict[int, KnownServer] = {}  # those with sessions, or with delays not told yet
+        # Listed servers that the policy has not been told of yet.
+        self.pending_updates: dict[int, tuple[ListedServer | None, interface.ListKind]] = {}
+        self.active_servers: dict[int, KnownServer] = {}  # with sessions or with delays yet to be reported
         self.sessions: dict[int, Client] = {}
-        self.open_identifiers: set[bytes] = set()  # of these
-        self.connections: dict[Client, None] = {}  # all whose connection is open, in their order
-        self.evictable: dict[Client, None] = {}  # those that no session needs, oldest first
+        self.open_identifiers: set[bytes] = set()  # the ids that the clients gave these sessions
+        self.connections: dict[Client, None] = {}  # all open client connections, oldest first
+        self.evictable: dict[Client, None] = {}  # those that carry no session, oldest first
         self.is_evicting = False
         self.next_session_id = 0
-        self.list_timer = self.loop.after(0, lambda: None)  # when the decisions ask for the list again
-        self.dial_count = 0  # made since the start, but those of sessions that stood before
+        self.list_timer = self.loop.after(0, lambda: None)  # until the policy requests the list again
+        self.dial_count = 0  # since the start, without the dials of restored sessions
         self.events: deque[interface.Event] = deque()
         self.is_dispatching = False
         self.is_ready = False
         self.is_stopping = False
-        self.moves_new_sessions = False  # the time left is for moving what stands
-        self.is_closing = False  # and now for what is said last: nothing is sent on any more
+        self.moves_new_sessions = False  # at shutdown: sessions are moved as soon as they are established
+        self.is_closing = False  # at shutdown: nothing is dialled any more, final answers only
         self.acceptor: Acceptor | None = None
-        # Guards against a balancer that is told no list and never asks for one.
+        # Without a list in the configuration an empty one starts the requests for it.
         known = config.known or ServerList(version=-1)
         self.list_client = ListClient(self, start.discovery, self.deployment, known.version)
         self.listen = start.listen
@@ -170,7 +172,7 @@
         self.log("stopped")
 
     def start_accepting(self) -> None:
-        """Takes clients in from here on."""
+        """Opens the listening socket; clients are accepted from here on."""
         self.acceptor = Acceptor(self, self.listen)
         self.is_ready = True
         self.loop.after(CHECK_INTERVAL, self.check_servers)
@@ -178,10 +180,10 @@
             "started", listen="{}:{}".format(*self.acceptor.sock.getsockname()), servers=len(self.servers)
         )
 
-    # The decisions
+    # Policy events and actions
 
     def handle_event(self, event: interface.Event) -> None:
-        """Guards against an action that brings the next event about before the others are done."""
+        """Passes the event to the policy; events caused by its actions are queued until all are done."""
         self.events.append(event)
         if self.is_dispatching:
             return
@@ -191,7 +193,7 @@
         self.is_dispatching = False
 
     def decide(self, event: interface.Event) -> None:
-        """Guards against an action whose fault loses the event's others."""
+        """Carries out the policy's actions for an event; one that fails does not affect the others."""
         started_at = self.loop.now()
         actions = self.balancer.handle(started_at, event)
         took = self.loop.now() - started_at
@@ -210,7 +212,7 @@
                 due = interface.TimerFired(action.timer, action.index)
                 timer_handle = self.loop.after(action.after, lambda: self.handle_event(due))
                 if action.timer is interface.Timer.LIST_REQUEST:
-                    # Guards against one more chain of calls for each SIGHUP while the list can't be had.
+                    # Else each SIGHUP during an outage of the list would start one more chain of requests.
                     self.list_timer.cancel()
                     self.list_timer = timer_handle
             case interface.Refuse():
@@ -246,7 +248,7 @@
         return client
 
     def on_open_line(self, client: Client, line: bytes) -> None:
-        """The whole line is looked at before anything is dialled for it."""
+        """Parses and validates an OPEN line completely before anything is dialled for it."""
         try:
             verb, identifier, key, text = line.split(b" ")
             pairs = [part.partition(b"=") for part in text.split(b",")]
@@ -261,12 +263,12 @@
                 or not parameters[b"d"].isdigit()
                 or wait > 10 * MAX_DEADLINE_MS
                 or not 0 <= (hint or 0) < MAX_LOAD
-                or client.inbound.used  # a client waits for its answer
+                or client.inbound.used  # clients must wait for the answer
                 or identifier in self.open_identifiers  # new with every connection: that session is another's
             ):
                 raise ValueError
         except (ValueError, KeyError):
-            # Guards against a peer that speaks something else: it is told so, and the loop goes on.
+            # A peer that speaks another protocol gets an error and does not disturb the service.
             self.log("malformed", line=line[:200].decode("latin-1"))
             client.answer(b"ERR malformed\r\n", Ending.MALFORMED)
             return
@@ -298,7 +300,7 @@
             self.dial_restored(client)
             return
         self.add_session(client)
-        # Guards against an answer after the client's time: some has passed while the line lay unread.
+        # The time that the line may have waited unread counts towards the client's deadline.
         wait = max(wait - self.loop.max_unread_time(), 0)
         client.start_answer_timer(wait)
         self.handle_event(
@@ -310,41 +312,41 @@
     def dial(self, action: interface.Dial) -> None:
         self.dial_count += 1
         session_id, server = action.session_id, action.server
-        client = self.sessions.get(session_id)  # None: it has left, which is still to be told
+        client = self.sessions.get(session_id)  # None: the client has left, and the event is queued
         connect_timeout = self.deployment.connect_timeout
-        # Guards against an attempt past the client's time: the decision took some of it.
+        # The decision itself took time; no dial may outlast the client's deadline.
         limit = min(action.limit, client.answer_deadline - self.loop.now()) if client is not None else 0
         if limit <= 0 or self.is_closing or not self.start_dial(client, server, connect_timeout, limit):
             gone = session_id not in self.sessions
             self.handle_event(interface.DialEnded(session_id, server, OUTCOMES[Ending.NO_SOCKET], gone, None))
 
     def may_send(self, dial: DialConnection) -> bool:
-        """Guards against a line sent to a server that was told to drain while the dial came up."""
+        """Whether the server may still get the line: it may have started draining during the connect."""
         entry = self.servers[dial.server].entry
         return dial.client.restored_server >= 0 or entry is None or entry.state is interface.ServerState.READY
 
     def evict_clients(self, min_free: int) -> None:
-        """Guards against a crowd that says nothing, or stays on, and takes the sockets that others need."""
+        """Closes idle and lingering clients until enough descriptors are free; others need the sockets."""
         if self.is_evicting:
-            return  # one that rested was read, and needs a dial: the crowd is worked through as it is
+            return  # called again for the dial of a client that was read below; the outer loop continues
         self.is_evicting = True
         while self.loop.free_descriptors <= min_free and self.evictable:
             oldest = next(iter(self.evictable))
-            oldest.read()  # Guards against a session refused by a reset: its line may wait.
+            oldest.read()  # its OPEN line may wait unread, and closing would reset the session
             if oldest in self.evictable:
                 oldest.answer(b"BUSY\r\n", Ending.PUSHED_OUT)
                 oldest.close()
         self.is_evicting = False
 
     def start_dial(self, client: Client, server: int, connect_within: int, limit: int) -> bool:
-        """Whether its client is still there, and there was a socket for it."""
-        # Guards against a dial for a client whose end has come but waits unread, however long the turn.
+        """Returns whether the dial was started: the client is still connected and a socket was free."""
+        # The client may have closed while this iteration ran, with the end of stream still unread.
         client.read()
         if client.is_finished:
             return False
         self.evict_clients(DIAL_RESERVE)
         if self.loop.free_descriptors <= DIAL_RESERVE:
-            # Guards against dials that go past the limit, and leave nothing to the call for the list.
+            # Dials must not use up the descriptors; the list request needs one.
             self.log("no_sockets", why="sessions hold all")
             return False
         try:
@@ -408,7 +410,7 @@
         self.handle_event(interface.DialEnded(client.session_id, dial.server, outcome, False, None))
 
     def on_client_ended(self, client: Client, ending: Ending) -> None:
-        """The client's side has ended; what is left of the session ends with it."""
+        """The client's side has ended; ends the dial and the session with it."""
         dial = client.dial
         if client.is_established:
             self.on_session_ended(client, ending)
@@ -416,7 +418,7 @@
         elif self.remove_session(client.session_id) is not None:
             self.log("left", sess=client.session_id, ending=ending.name)
             self.handle_event(interface.SessionLeft(client.session_id))
-            server = client.restored_server  # of a session that stood before, also between two tries
+            server = client.restored_server  # of a restored session, also between two attempts
             if dial is not None:
                 server = dial.server
                 dial.finish(ending)
@@ -426,7 +428,7 @@
                 )
 
     def on_session_ended(self, client: Client, ending: Ending) -> None:
-        """A standing session has ended, told once."""
+        """Reports the end of an established session; later calls for the session do nothing."""
         if self.remove_session(client.session_id) is None:
             return
         server = client.dial.server
@@ -434,7 +436,7 @@
         self.log("session", sess=client.session_id, server=server, ending=ending.name)
         self.handle_event(interface.DialEnded(client.session_id, server, OUTCOMES[ending], True, None))
 
-    # What lines tell
+    # Loads and message delays
 
     def on_load_line(self, dial: DialConnection, line: bytes) -> None:
         try:
@@ -450,7 +452,7 @@
             if loads.is_one_period_old(now) and loads.previous is not None:
                 self.handle_event(
                     interface.LoadReported(session_id, loads.previous)
-                )  # that line was such a note too
+                )  # the previous line was a delay report too
             self.handle_event(interface.DelayReported(session_id, dial.server, int(load * 10)))
             return
         loads.record(now, load)
@@ -461,7 +463,10 @@
         known.add_delay_sample(delay)
 
     def check_servers(self) -> None:
-        """Tells of slow messages, from answers and what is still unanswered, and once when that is over."""
+        """Reports slow messages per server, including unanswered ones, and once when they are fast again.
+
+        Also moves the sessions whose lines have been unanswered for too long.
+        """
         self.loop.after(CHECK_INTERVAL, self.check_servers)
         if self.loop.longest_iteration >= LONG_ITERATION:
             self.log("long_turn", took=self.loop.longest_iteration)
@@ -475,8 +480,8 @@
             delays = sorted([*server.delays, *(now - one.unanswered_since for one in late)])
             server.delays.clear()
             answers = len(late) < len(delays)
-            # Guards against a server blamed for one dead connection, and against one that has stopped being
-            # taken for a slow one by the latest lines.
+            # One dead connection says nothing of its server, and a server that has stopped answering must not
+            # pass for a slow one because its latest lines have not waited long yet.
             server.is_unresponsive = not answers and (server.is_unresponsive or len(late) >= MIN_UNANSWERED)
             if answers or (server.is_unresponsive and late):
                 delay = delays[-1] if server.is_unresponsive else delays[len(delays) // 2]
@@ -493,16 +498,15 @@
                     self.log("silent", sess=client.session_id, server=index)
                     client.move()
 
-    # The list
+    # The server list
 
     def on_list(self, server_list: ServerList) -> None:
         kind = interface.ListKind.WHOLE if server_list.full else interface.ListKind.CHANGES
         self.apply_list(server_list, kind)
 
     def apply_list(self, server_list: ServerList, kind: interface.ListKind) -> None:
-        rows: dict[
-            int, ListedServer | None
-        ] = {}  # of servers that are new or changed; None: not to be logged
+        # The list's entries for new and changed servers; None: not to be logged.
+        rows: dict[int, ListedServer | None] = {}
         listed_entries: dict[int, interface.ServerEntry] = {}
         for raw in server_list.servers:
             index, entry, row = self.parse_entry(raw)
@@ -525,9 +529,9 @@
             self.queue_changes(rows, kind)
 
     def queue_changes(self, rows: dict[int, ListedServer | None], kind: interface.ListKind) -> None:
-        """Servers that get nothing new are told at once, the others so many a turn.
+        """Passes servers that must get no new sessions to the policy at once, the others in batches.
 
-        Guards against a long list that holds up all else.
+        A long list handled in one iteration would hold up all other work.
         """
         was_waiting = bool(self.pending_updates)
         not_ready = []
@@ -538,7 +542,7 @@
         if not_ready:
             self.deliver(not_ready)
         if not was_waiting and (self.pending_updates or not not_ready):
-            self.deliver_batch()  # also where nothing is new: the list can be had
+            self.deliver_batch()  # also without changes: the policy learns that the list is available
 
     def deliver_batch(self) -> None:
         self.deliver(list(islice(self.pending_updates, LIST_BATCH)))
@@ -546,7 +550,7 @@
             self.loop.after(0, self.deliver_batch)
 
     def deliver(self, indexes: list[int]) -> None:
-        """Each as it was listed last, which may be later than it was put off."""
+        """Passes these servers to the policy in their latest state, which may be newer than when queued."""
         for index in indexes:
             row, kind = self.pending_updates.pop(index)
             self.log_listed({index: row}, kind)
@@ -560,15 +564,15 @@
         )
 
     def count_listed(self) -> int:
-        """Guards against a budget for each server that is taken from a part of the list."""
+        """The size of the whole list, so that budgets per server are not computed from a part of it."""
         return sum(known.entry.state is not interface.ServerState.GONE for known in self.servers)
 
     def parse_entry(self, raw: msgspec.Raw) -> tuple[int, interface.ServerEntry | None, ListedServer | None]:
-        """A server's index, its entry, and how that was spelt; no entry where nothing of it can be used."""
+        """Returns the server's index, its entry and the raw row; the entry is None if it is unusable."""
         try:
             row = decode_entry(raw)
         except DECODE_ERRORS as error:
-            # Guards against one bad entry that spoils the list: the rest is used, it stays as it was.
+            # A bad entry leaves its server as it was; the rest of the list is used.
             self.log("bad_entry", why=str(error), entry=bytes(raw)[:200].decode("latin-1"))
             index = self.server_index.get(entry_id(raw), -1)
             return index, self.servers[index].entry if index >= 0 else None, None
@@ -602,7 +606,7 @@
                 self.log("listed", kind=kind.name, server=index, id=row.id, **more)
 
     def mark_unlisted_gone(self, listed_entries: Set[int]) -> list[int]:
-        """What a whole list leaves out is gone; returns what was there before."""
+        """Marks servers missing from a whole list as gone; returns their indexes."""
         gone = []
         for index, known in enumerate(self.servers):
             if index not in listed_entries and known.entry.state is not interface.ServerState.GONE:
@@ -612,19 +616,19 @@
         return gone
 
     def move_sessions_away(self, index: int) -> None:
-        """Guards against sessions cut off when their server goes: what still stands there is moved before."""
+        """Moves the sessions of a draining server before it goes away and cuts them off."""
         clients = list(self.servers[index].sessions)
         if clients:
             self.log("drains", server=index, sessions=len(clients))
         self.move_spread(DRAIN_SPREAD, clients)
 
     def move_spread(self, span: int, clients: list[Client]) -> None:
-        """Spread evenly, and out of step with other balancers, so that they do not all come again at once."""
+        """Moves the clients one by one over the span, with jitter, so that they do not reconnect together."""
         for index, client in enumerate(clients):
             self.loop.after(int(span * (index + self.uniform(0, 1)) / len(clients)), client.move)
 
     def on_list_address_changed(self) -> None:
-        """What is known is of before, as at a start. Guards against all that are told so calling at once."""
+        """Treats the known servers as a saved list; the policy spreads the request over all balancers."""
         if self.deployment.list_on_request:
             entries = [known.entry for known in self.servers if known.entry is not None]
             self.handle_event(interface.ServerListUpdated(interface.ListKind.SAVED, entries))
@@ -633,21 +637,21 @@
 
     def on_list_failed(self, error: str, pending_duration: int, is_scheduled: bool) -> None:
         self.log("list_failed", why=error)
-        # The decisions ask again, spread by chance. Guards against many balancers that call in step.
+        # The policy schedules the next request with jitter, so that balancers do not call in step.
         self.handle_event(
             interface.ServerListUpdated(interface.ListKind.FAILED, [], pending_duration, is_scheduled)
         )
 
-    # A new configuration
+    # Reload
 
     def reload(self) -> None:
-        """Reads the file again; what stands, and what is known of the servers, stays."""
+        """Reads the configuration file again; sessions and known servers stay. Settings need a restart."""
         if self.is_stopping:
             return
         try:
             config, discovery = reread_config(self.config_path)
         except StartError as error:
-            # Guards against a file that is being written or is wrong: the old configuration goes on.
+            # The file may be half written or invalid: the old configuration stays in force.
             self.log("not_reloaded", why=str(error))
             return
         self.loop.set_descriptor_limit(descriptor_limit(config))
@@ -658,10 +662,10 @@
         for callback in self.on_reload:
             callback()
 
-    # The end
+    # Graceful shutdown
 
     def stop(self) -> None:
-        """Goes on taking in while the front notices, answers all, moves every session, and ends in time."""
+        """Shuts down gracefully: accepts for a while longer, answers all, moves all sessions, then exits."""
         if self.is_stopping:
             return
         self.is_stopping = True
@@ -673,7 +677,7 @@
 
     def stop_accepting(self) -> None:
         if self.acceptor is not None:
-            # Guards against a reset of what waits to be taken in: more than one turn takes may have come.
+            # Closing the listener resets connections left in the backlog, which may exceed one batch.
             while self.acceptor.accept_batch():
                 pass
             self.acceptor.close()
@@ -684,14 +688,14 @@
         self.stop_when_empty()
 
     def move_all(self, span: int) -> None:
-        """Late: guards against clients sent away while the balancer restarted before this one is not back."""
+        """Runs as late as possible: another balancer may be restarting and not be able to take them yet."""
         clients = [client for client in self.sessions.values() if client.is_established]
         self.log("moving", sessions=len(clients))
         self.moves_new_sessions = True
         self.move_spread(span, clients)
 
     def answer_remaining(self) -> None:
-        """From here on nothing is sent on: the decisions hear that of each dial, and give up what is left."""
+        """Ends what is pending: dials fail from here on, and the policy gives up their sessions."""
         self.is_closing = True
         for client in list(self.connections):
             if client.is_established:
@@ -702,7 +706,7 @@
                 client.answer(b"BUSY\r\n", Ending.STOPPED)
 
     def stop_when_empty(self) -> None:
-        """Guards against cutting off what is still being said, or just coming in as a line."""
+        """Stops the loop once all clients are gone or the time is up; last bytes still need to be sent."""
         if self.connections and self.loop.now() < self.stop_deadline:
             self.loop.after(200, self.stop_when_empty)
         else:
--- a/thymedeck/net/system.py
+++ b/thymedeck/net/system.py
@@ -1,4 +1,4 @@
-"""All that the net code asks of the machine beside signals: two clocks, a selector, sockets (docs/lab.md)."""
+"""The operating system interface of the network code: clocks, selector, sockets and log (docs/lab.md)."""
 
 import os
 import selectors
@@ -9,7 +9,7 @@
 
 
 class System:
-    """The machine's own. Another may stand in for it, with sockets that answer to the same calls."""
+    """The real system; tests and the lab substitute their own with sockets that support the same calls."""
 
     monotonic_ns = staticmethod(time.monotonic_ns)
     time_ns = staticmethod(time.time_ns)
@@ -17,7 +17,7 @@
 
     @staticmethod
     def stream() -> socket.socket:
-        """To connect with."""
+        """A TCP socket for an outgoing connection."""
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
     @staticmethod
@@ -36,6 +36,6 @@
 
     @staticmethod
     def log() -> Callable[[bytes], int]:
-        """What takes a line of the log, or raises OSError at once; never waits for a reader."""
+        """A function that writes a log line or raises OSError at once; it never blocks."""
         os.set_blocking(1, False)
         return partial(os.write, 1)
