--- a/thymedeck/peers/start.py
+++ b/thymedeck/peers/start.py
@@ -19,7 +19,7 @@
     if not start.config.settings.limits.peers:
         raise StartError(f"{path}: the settings of this deployment forbid peers")
     if not is_name(start.config.name):
-        raise StartError(f"{path}: {start.told.name!r} is no name for a peer")
+        raise StartError(f"{path}: {start.config.name!r} is no name for a peer")
     try:
         stated = read(path)
     except Unfit as why:
