--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,35 +1,35 @@
-"""Plays a crossing: the program's own Service on real loopback sockets, its loop turned by hand.
-
-Nothing happens between two steps: the program's clock stands unless a step moves it, and what a peer does is
-known to have arrived before the loop turns again. Steps are those of SocketScenario, and:
-
-    client N knocks          connects, and waits to be taken in; `connects` and `opens` turn until it is
-    client N arrives         what that client did (bytes, an end, a reset) waits to be read by the program
-    server N accepts [A]     a dial has come up, which the program has not heard of yet
-    server N reads N2        the line of that dial comes, for the session of client N2
-    server N takes COUNT     of the line of that dial only so many bytes are taken until the next turn
-    server N arrives, list arrives, list unseen (no call waits there)
-    held COUNT               so many sessions are held by the decisions
-    free COUNT               the program may open so many connections or more
-    undelayed                TCP_NODELAY is set on each connection of the program
+"""Plays a scenario of a race: the real Service on loopback sockets, its loop run iteration by iteration.
+
+Nothing happens between two steps: the service's clock stands still unless a step advances it, and what a peer
+sends has arrived before the loop runs again. Steps are those of SocketScenario, and:
+
+    client N knocks          connects and stays in the backlog; `connects` and `opens` run until accepted
+    client N arrives         what that client did (data, end of stream, reset) can be read by the service
+    server N accepts [A]     a dial is connected, which the service has not noticed yet
+    server N reads N2        the line of that dial arrives, for the session of client N2
+    server N takes COUNT     only this many bytes of the dial's line are written until the next iteration
+    server N arrives, list arrives, list unseen (no request waits there)
+    held COUNT               the policy holds this many sessions
+    free COUNT               the service has at least this many free descriptors
+    undelayed                TCP_NODELAY is set on each connection of the service
     nothing dialled [A]      no dial waits at any server, or at this one
-    list comes MS            the clock moves on until a call for the list comes, by MS at the most
-    turn [COUNT]             the loop turns so often and waits for nothing
-    first client|server N    of what is ready in one turn that comes first; or `first door`
-    later MS                 the clock moves on with no turn, as if the process had stood still
-    passes MS                the clock moves on in small steps, the loop turning at each
-    within MS STEP           in the middle of the next turn, before it reads, this step and so much time
-    full A, full list        connections to that server, or to discovery, no longer come up
-    server N stuffs          sends lines as long as any are taken; `client N drains` reads them
-    list floods HEAD BYTES   sends HEAD, then so many bytes as fast as they are taken, until it is cut off
-    list indents N KIND ...  `list says` with one of over 8 kB; `list nests N` with too many brackets
-    stop, reload same|other  SIGTERM and SIGHUP are heard
-    without list             before `start`: the file names no list
-    settings NAME            those of tests/scenarios/settings, before `start`
-    breaks ACTION            the next such action of the decisions fails in the service
-    thinks MS                the decision on the next session takes so long
-    ended                    the service has stopped within ten seconds, and the process is gone
-    log no PATTERN           no such line since the last one that was looked for
+    list comes MS            advances the clock until a list request arrives, by MS at most
+    turn [COUNT]             runs this many loop iterations without waiting
+    first client|server N    is dispatched first among the ready sockets; or `first door`, the listener
+    later MS                 advances the clock without an iteration, as if the process had been stalled
+    passes MS                advances the clock in small steps with an iteration at each
+    within MS STEP           in the middle of the next iteration, before it reads: this step, then this delay
+    full A, full list        connections to that server, or to discovery, are no longer established
+    server N stuffs          sends lines until no more are accepted; `client N drains` reads them
+    list floods HEAD BYTES   sends HEAD, then this many bytes as fast as accepted, until it is cut off
+    list indents N KIND ...  like `list says`, with over 8 kB; `list nests N` with too many brackets
+    stop, reload same|other  SIGTERM and SIGHUP are received
+    without list             before `start`: the configuration contains no list
+    settings NAME            before `start`: those of tests/scenarios/settings
+    breaks ACTION            the next such action of the policy fails in the service
+    thinks MS                the decision on the next session takes this long
+    ended                    the service stops within ten seconds, and the process exits
+    log no PATTERN           no such line since the last one that was matched
 """
 
 import contextlib
@@ -50,42 +50,42 @@
 
 from .helpers import STEP_TIMEOUT_SECONDS, LineConnection, SocketScenario, fnmatch
 
-STUFF = b"x" * 98 + b"\r\n"
-STEP = 10  # milliseconds, of `passes`
-UNTIL_ENDED = 10_000
+FILLER_LINE = b"x" * 98 + b"\r\n"
+STEP_MS = 10  # of `passes`
+EXIT_TIMEOUT_MS = 10_000
 
 
-class Ordered(selectors.DefaultSelector):
-    """Tells what is ready in any order, as the system's own may: what the step names comes first."""
+class OrderedSelector(selectors.DefaultSelector):
+    """Returns ready sockets in an order set by the scenario; the system's selector may use any order."""
 
     first: object = None
 
     def select(self, timeout: float | None = None) -> list:
-        return sorted(super().select(timeout), key=lambda one: one[0].data is not self.first)
+        return sorted(super().select(timeout), key=lambda event: event[0].data is not self.first)
 
 
-class Narrow(RingBuffer):
-    """Writes so many bytes of what it holds, then would have to wait once, then all."""
+class PartialWriteBuffer(RingBuffer):
+    """Writes `remaining` bytes, then would block once, then writes the rest."""
 
-    __slots__ = ("left",)
+    __slots__ = ("remaining",)
 
     def send_to(self, sock: socket.socket) -> int:
-        left, self.left = self.left, -1 if not self.left else 0
-        if not left:
+        remaining, self.remaining = self.remaining, -1 if not self.remaining else 0
+        if not remaining:
             raise BlockingIOError
-        sent = sock.send(self.peek(0, self.used if left < 0 else left))
+        sent = sock.send(self.peek(0, self.used if remaining < 0 else remaining))
         self.discard(sent)
         return sent
 
 
-class StoodClock(System):
-    """The machine's sockets, and a clock that only a step moves."""
+class ManualClockSystem(System):
+    """Real sockets, and a clock that only the scenario's steps advance."""
 
-    selector = staticmethod(Ordered)
+    selector = staticmethod(OrderedSelector)
 
     def __init__(self) -> None:
         self.now_ns = 1_800_000_000_000_000_000
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
 
     def monotonic_ns(self) -> int:
         return self.now_ns
@@ -93,48 +93,54 @@
     time_ns = monotonic_ns
 
     def log(self) -> Callable[[bytes], int]:
-        return lambda line: self.lines.append(line.decode().rstrip()) or len(line)
+        return lambda line: self.log_lines.append(line.decode().rstrip()) or len(line)
 
 
 class SteppedConnection(LineConnection):
-    def __init__(self, sock: socket.socket, pump: Callable[[Callable[[], object], str], None]) -> None:
+    """A peer's connection that runs the service's loop while it waits for data."""
+
+    def __init__(self, sock: socket.socket, turn_until: Callable[[Callable[[], object], str], None]) -> None:
         super().__init__(sock)
-        self.pump = pump
+        self.turn_until = turn_until
 
     def read_line(self) -> str:
         while b"\r\n" not in self.buffer:
-            self.pump(lambda: select.select([self.sock], [], [], 0)[0], f"nothing came, held {self.buffer!r}")
+            self.turn_until(
+                lambda: select.select([self.sock], [], [], 0)[0], f"nothing came, held {self.buffer!r}"
+            )
             try:
-                got = self.sock.recv(65536)
+                received = self.sock.recv(65536)
             except ConnectionError:
                 return "reset"
-            if not got:
+            if not received:
                 return "end" if not self.buffer else f"end after {self.buffer!r}"
-            self.buffer += got
+            self.buffer += received
         line, _, self.buffer = self.buffer.partition(b"\r\n")
         return line.decode()
 
 
-class Crossing(SocketScenario):
+class SteppedScenario(SocketScenario):
+    """Runs the service in this process, with its loop and clock under the control of the steps."""
+
     def __init__(self, path: Path) -> None:
         super().__init__(path)
-        self.system = StoodClock()
+        self.system = ManualClockSystem()
         self.service: Service | None = None
-        self.ends: dict[int, Connection] = {}  # by the peer's descriptor, the program's end
+        self.program_ends: dict[int, Connection] = {}  # the service's connection, by the id of the peer
 
-    # Turning
+    # Loop and clock
 
     def turn(self) -> None:
         if not self.service.loop.running:
-            self.go()  # the process has ended
+            self.close_program()  # the process has ended
             return
-        self.service.loop.after(0, lambda: None)  # so that it waits for nothing
+        self.service.loop.after(0, lambda: None)  # so that it does not wait
         self.service.loop.run_once()
 
-    def pump(self, is_so: Callable[[], object], else_say: str) -> None:
+    def turn_until(self, condition: Callable[[], object], message: str) -> None:
         until = time.monotonic() + STEP_TIMEOUT_SECONDS
-        while not is_so():
-            assert time.monotonic() < until, else_say
+        while not condition():
+            assert time.monotonic() < until, message
             self.turn()
 
     def on_turn(self, count: str = "1") -> None:
@@ -145,51 +151,51 @@
         self.system.now_ns += int(float(span) * 1e6)
 
     def on_passes(self, span: str) -> None:
-        for _ in range(0, int(span), STEP):
-            self.on_later(str(STEP))
+        for _ in range(0, int(span), STEP_MS):
+            self.on_later(str(STEP_MS))
             self.turn()
 
     def on_within(self, span: str, step: str) -> None:
-        """The process stands still in the middle of a turn."""
-        plain = Connection.read
+        """Stalls the process in the middle of an iteration."""
+        original = Connection.read
 
-        def stood(one: Connection) -> None:
-            Connection.read = plain
+        def stalled_read(connection: Connection) -> None:
+            Connection.read = original
             kind, *words = step.split(maxsplit=2)
             self.run_step(kind, words)
             self.on_later(span)
-            plain(one)
+            original(connection)
 
-        Connection.read = stood
+        Connection.read = stalled_read
 
     def on_first(self, whose: str, name: str = "") -> None:
         peers = self.clients if whose == "client" else self.dials
-        first = self.service.acceptor if whose == "door" else self.ends[id(peers[name])]
+        first = self.service.acceptor if whose == "door" else self.program_ends[id(peers[name])]
         self.service.loop.selector.first = first
 
     def on_full(self, what: str) -> None:
-        door = self.discovery if what == "list" else self.server_sockets[what]
-        door.listen(0)
+        listener = self.discovery if what == "list" else self.server_sockets[what]
+        listener.listen(0)
         while True:
             sock = socket.socket()
             sock.setblocking(False)
-            sock.connect_ex(door.getsockname())
+            sock.connect_ex(listener.getsockname())
             self.crowd.append(sock)
             if not select.select([], [sock], [], 0.05)[1]:
                 return
 
-    def arrived(self, end: Connection) -> None:
-        assert select.select([end.sock], [], [], STEP_TIMEOUT_SECONDS)[0], "it does not arrive"
+    def wait_readable(self, end: Connection) -> None:
+        assert select.select([end.sock], [], [], STEP_TIMEOUT_SECONDS)[0], "nothing arrived"
 
-    # The program
+    # The service
 
     def configuration_text(self) -> str:
-        told = json.loads(super().configuration_text())
+        config = json.loads(super().configuration_text())
         if self.descriptors:
-            told["limits"] = {"sockets": self.descriptors}
+            config["limits"] = {"sockets": self.descriptors}
         if self.known is None:
-            del told["known"]
-        return json.dumps(told)
+            del config["known"]
+        return json.dumps(config)
 
     def on_without(self, _: str) -> None:
         self.known = None
@@ -215,13 +221,13 @@
         self.service.reload()
 
     def on_breaks(self, name: str) -> None:
-        plain = self.service.perform
+        original = self.service.perform
 
         def broken(action: object) -> None:
             if type(action).__name__ == name:
-                self.service.perform = plain
+                self.service.perform = original
                 raise ValueError("broken for the test")
-            plain(action)
+            original(action)
 
         self.service.perform = broken
 
@@ -238,15 +244,15 @@
         self.service.balancer.handle = slow
 
     def on_ended(self) -> None:
-        for _ in range(0, UNTIL_ENDED, STEP):
+        for _ in range(0, EXIT_TIMEOUT_MS, STEP_MS):
             if not self.service.loop.running:
                 break
-            self.on_passes(str(STEP))
-        assert not self.service.loop.running, "it goes on"
+            self.on_passes(str(STEP_MS))
+        assert not self.service.loop.running, "the service is still running"
         self.turn()
 
-    def go(self) -> None:
-        """What the system does with the sockets of a process that has ended."""
+    def close_program(self) -> None:
+        """Closes the service's sockets, as the system does when a process exits."""
         self.service.loop.running = False
         for key in list(self.service.loop.selector.get_map().values()):
             sock = getattr(key.data, "sock", None)
@@ -261,7 +267,7 @@
         finally:
             Connection.read = read
             if self.service is not None:
-                self.go()
+                self.close_program()
                 self.service.loop.selector.close()
 
     # Peers
@@ -269,15 +275,15 @@
     def connect(self) -> socket.socket:
         return socket.create_connection(self.address[:2], timeout=STEP_TIMEOUT_SECONDS)
 
-    def taken_in(self, sock: socket.socket) -> Connection | None:
+    def program_end_of(self, sock: socket.socket) -> Connection | None:
         for key in self.service.loop.selector.get_map().values():
             end = getattr(key.data, "sock", None)
-            if isinstance(key.data, Connection) and self.peer_of(end) == sock.getsockname():
+            if isinstance(key.data, Connection) and self.peer_address(end) == sock.getsockname():
                 return key.data
         return None
 
     @staticmethod
-    def peer_of(sock: socket.socket) -> object:
+    def peer_address(sock: socket.socket) -> object:
         try:
             return sock.getpeername()
         except OSError:
@@ -286,18 +292,18 @@
     def on_client(self, name: str, rest: str) -> None:
         verb, _, text = rest.partition(" ")
         if verb in ("opens", "connects", "knocks"):
-            peer = self.clients[name] = SteppedConnection(self.connect(), self.pump)
+            peer = self.clients[name] = SteppedConnection(self.connect(), self.turn_until)
             if verb != "knocks":
-                self.pump(lambda: self.taken_in(peer.sock), "it is not taken in")
-                self.ends[id(peer)] = self.taken_in(peer.sock)
+                self.turn_until(lambda: self.program_end_of(peer.sock), "the client was not accepted")
+                self.program_ends[id(peer)] = self.program_end_of(peer.sock)
             if verb == "opens":
                 peer.perform("says", f"OPEN id{name} key{name} {text}")
         elif verb == "arrives":
-            self.arrived(self.ends[id(self.clients[name])])
+            self.wait_readable(self.program_ends[id(self.clients[name])])
         elif verb == "drains":
             server = self.dials[name].sock
             server.setblocking(False)
-            self.drain(self.clients[name], server)
+            self.receive_filler(self.clients[name], server)
             server.setblocking(True)
         else:
             self.clients[name].perform(verb, text)
@@ -305,32 +311,34 @@
     def on_server(self, name: str, rest: str) -> None:
         verb, _, text = rest.partition(" ")
         if verb in ("dialled", "accepts"):
-            doors = [door for at, door in self.server_sockets.items() if not text or at == text]
-            self.pump(lambda: select.select(doors, [], [], 0)[0], "no dial")
-            sock = select.select(doors, [], [], 0)[0][0].accept()[0]
-            peer = self.dials[name] = SteppedConnection(sock, self.pump)
-            self.ends[id(peer)] = self.taken_in(sock)
+            listeners = [listener for at, listener in self.server_sockets.items() if not text or at == text]
+            self.turn_until(lambda: select.select(listeners, [], [], 0)[0], "no dial")
+            sock = select.select(listeners, [], [], 0)[0][0].accept()[0]
+            peer = self.dials[name] = SteppedConnection(sock, self.turn_until)
+            self.program_ends[id(peer)] = self.program_end_of(sock)
         if verb in ("dialled", "reads"):
             line = self.dials[name].read_line()
             of = text if verb == "reads" else name
             assert line.startswith(f"OPEN id{of} key{of} "), line
             self.figures = line.split()[3]
         elif verb == "arrives":
-            self.arrived(self.ends[id(self.dials[name])])
+            self.wait_readable(self.program_ends[id(self.dials[name])])
         elif verb == "takes":
-            end = self.ends[id(self.dials[name])]
-            narrow = Narrow()
-            narrow.append(end.outbound.read_all())
-            narrow.left = int(text)
-            end.outbound = narrow
+            end = self.program_ends[id(self.dials[name])]
+            throttled = PartialWriteBuffer()
+            throttled.append(end.outbound.read_all())
+            throttled.remaining = int(text)
+            end.outbound = throttled
         elif verb == "stuffs":
-            self.left = STUFF * 200_000
+            self.remaining = FILLER_LINE * 200_000
             self.dials[name].sock.setblocking(False)
             idle = 0
             while idle < 20:
                 self.turn()
-                idle = 0 if self.stuff(self.dials[name].sock) else idle + 1
-            self.left = self.left[: len(self.left) % len(STUFF)]  # no more than the rest of this line
+                idle = 0 if self.send_filler(self.dials[name].sock) else idle + 1
+            self.remaining = self.remaining[
+                : len(self.remaining) % len(FILLER_LINE)
+            ]  # no more than the rest of this line
             self.dials[name].sock.setblocking(True)
         elif verb != "accepts":
             self.dials[name].perform(verb, text)
@@ -348,35 +356,35 @@
         assert self.service.loop.free_descriptors >= int(count), self.service.loop.free_descriptors
 
     def on_nothing(self, _: str, at: str = "") -> None:
-        doors = [door for name, door in self.server_sockets.items() if at in ("", name)]
-        assert not select.select(doors, [], [], 0)[0], "a dial waits"
+        listeners = [listener for name, listener in self.server_sockets.items() if at in ("", name)]
+        assert not select.select(listeners, [], [], 0)[0], "a dial waits"
 
-    def stuff(self, sock: socket.socket) -> int:
+    def send_filler(self, sock: socket.socket) -> int:
         try:
-            sent = sock.send(self.left)
+            sent = sock.send(self.remaining)
         except BlockingIOError:
             return 0
-        self.left = self.left[sent:]
+        self.remaining = self.remaining[sent:]
         return sent
 
-    def drain(self, client: SteppedConnection, server: socket.socket) -> None:
-        """Reads what was stuffed, up to another line, or until nothing more of it comes."""
+    def receive_filler(self, client: SteppedConnection, server: socket.socket) -> None:
+        """Reads filler lines up to another line or until nothing more arrives."""
         idle = 0
         while idle < 20:
             with contextlib.suppress(ConnectionError):
-                self.stuff(server)
+                self.send_filler(server)
             self.turn()
             idle += 1
             if select.select([client.sock], [], [], 0)[0]:
-                got = client.sock.recv(1 << 20)
-                client.buffer = (client.buffer + got).replace(STUFF, b"")
-                idle = idle if b"\n" in client.buffer or not got else 0
+                received = client.sock.recv(1 << 20)
+                client.buffer = (client.buffer + received).replace(FILLER_LINE, b"")
+                idle = idle if b"\n" in client.buffer or not received else 0
 
     # The list
 
     def on_list(self, verb: str, text: str = "") -> None:
         if verb == "arrives":
-            self.arrived(self.service.list_client.connection)
+            self.wait_readable(self.service.list_client.connection)
         elif verb == "indents":
             version, _, *rows = text.split()
             entries = [self.entry(*row.split(":")) for row in rows]
@@ -387,14 +395,14 @@
             self.reply_to_list_call("200 OK", '{"version": ' + text + ', "more": ' + "[" * 100_000)
         elif verb == "floods":
             head, _, count = text.rpartition(" ")
-            self.left = head.encode().decode("unicode_escape").encode() + b"x" * int(count)
+            self.remaining = head.encode().decode("unicode_escape").encode() + b"x" * int(count)
             self.flood(self.list_calls[-1].sock)
         elif verb == "comes":
-            for _ in range(0, int(text), STEP):
-                if self.call_waits():
+            for _ in range(0, int(text), STEP_MS):
+                if self.is_call_waiting():
                     return
-                self.on_passes(str(STEP))
-            assert self.call_waits(), "no call in time"
+                self.on_passes(str(STEP_MS))
+            assert self.is_call_waiting(), "no call in time"
         elif verb == "unseen":
             assert not select.select([self.discovery], [], [], 0)[0], "a call waits"
         else:
@@ -402,22 +410,22 @@
 
     def flood(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        while self.left:
+        while self.remaining:
             try:
-                self.stuff(sock)
+                self.send_filler(sock)
             except ConnectionError:
                 return
             self.turn()
 
-    def call_waits(self) -> bool:
-        """On a new connection or on the one that is kept."""
+    def is_call_waiting(self) -> bool:
+        """Whether a list request waits, on a new connection or on the one kept open."""
         kept = [call.sock for call in self.list_calls[-1:] if call.sock.fileno() >= 0]
-        found = select.select([self.discovery, *kept], [], [], 0)[0]
-        return any(sock is self.discovery or sock.recv(1, socket.MSG_PEEK) for sock in found)
+        matches = select.select([self.discovery, *kept], [], [], 0)[0]
+        return any(sock is self.discovery or sock.recv(1, socket.MSG_PEEK) for sock in matches)
 
     def accept_list_call(self) -> None:
-        self.pump(lambda: select.select([self.discovery], [], [], 0)[0], "no call")
-        self.list_calls.append(SteppedConnection(self.discovery.accept()[0], self.pump))
+        self.turn_until(lambda: select.select([self.discovery], [], [], 0)[0], "no call")
+        self.list_calls.append(SteppedConnection(self.discovery.accept()[0], self.turn_until))
 
     # The log
 
@@ -425,9 +433,11 @@
         pattern = " ".join(words)
         if words[0] == "no":
             pattern = pattern.removeprefix("no ")
-            found = [line for line in self.system.lines if fnmatch(line, pattern)]
-            assert not found, found
+            matches = [line for line in self.system.log_lines if fnmatch(line, pattern)]
+            assert not matches, matches
             return
-        self.pump(lambda: any(fnmatch(line, pattern) for line in self.system.lines), f"no {pattern}")
-        at = next(at for at, line in enumerate(self.system.lines) if fnmatch(line, pattern))
-        del self.system.lines[: at + 1]
+        self.turn_until(
+            lambda: any(fnmatch(line, pattern) for line in self.system.log_lines), f"no {pattern}"
+        )
+        at = next(at for at, line in enumerate(self.system.log_lines) if fnmatch(line, pattern))
+        del self.system.log_lines[: at + 1]
--- a/tests/list_calls.py
+++ b/tests/list_calls.py
@@ -1,9 +1,9 @@
-"""Counts a fleet's calls for the list in virtual time: the program's services, and a list service that tires.
+"""Counts a fleet's list requests in virtual time: real services and a list service of limited capacity.
 
     python -m tests.list_calls [--balancers 200] [--capacity 28] [--refusal-cost 0.3] [--ask-within 10]
 
-All balancers watch; then comes one of the troubles below, and with its end (`t0`) a change of the list.
-Printed: how long after `t0` the balancers have it, the calls that cost the service a turn, those refused.
+All balancers watch the list; then one of the failures below happens, and at its end (`t0`) the list changes.
+Printed: how long after `t0` the balancers have the change, the requests without wait, and those refused.
 """
 
 import argparse
@@ -17,20 +17,20 @@
 from thymedeck.lab.stage import SECOND, Virtual
 from thymedeck.lab.standins import Listed
 
-LONGEST = 70 * SECOND
+MAX_DURATION = 70 * SECOND
 
 
-class Seen(Struct):
-    had: list[int]  # after t0, in tenths of a millisecond, of the balancers that came to have it, sorted
-    calls: int  # from t0 on that asked for no wait
+class FleetResult(Struct):
+    received_at: list[int]  # sorted; after t0, in tenths of a millisecond
+    calls: int  # requests without wait from t0 on
     refused: int
-    peak: int  # most of them in a second
+    peak: int  # most calls in one second
 
 
 def fleet(balancers: int, capacity: float, refusal_cost: float, ask_within: float, seed: int) -> Virtual:
-    told = settings(balancers, ["m1"], ["a"])
-    told["contract"]["ask_within_us"] = int(ask_within * 1e6)
-    stage = Virtual(seed, told)
+    deployment = settings(balancers, ["m1"], ["a"])
+    deployment["contract"]["ask_within_us"] = int(ask_within * 1e6)
+    stage = Virtual(seed, deployment)
     stage.add_server("s0")
     stage.list.set(Listed("s0"))
     stage.known = [Listed("s0")]
@@ -41,39 +41,39 @@
 
 
 def watching(stage: Virtual) -> Virtual:
-    """All balancers have the list and watch."""
+    """Runs until all balancers watch the list."""
     capacity, stage.list.capacity = stage.list.capacity, 0.0
-    assert stage.run_until(lambda: len(stage.list.watches) == len(stage.services), LONGEST)
+    assert stage.run_until(lambda: len(stage.list.watches) == len(stage.services), MAX_DURATION)
     stage.list.capacity = capacity
     return stage
 
 
 def restarted(stage: Virtual) -> None:
-    """All start with a list of old."""
+    """All start with an old list."""
 
 
 def reset(stage: Virtual) -> None:
-    """All watches are reset at once, the service goes on."""
+    """All watches are reset at once; the service keeps running."""
     watching(stage).list.fall()
     stage.list.down = False
 
 
 def down(stage: Virtual) -> None:
-    """The service resets whatever comes for eight seconds."""
+    """The service resets all connections for eight seconds."""
     watching(stage).list.fall()
     stage.run(8 * SECOND)
     stage.list.down = False
 
 
 def silent(stage: Virtual) -> None:
-    """All open watches fall silent, and stay open."""
+    """All watches stay open but are never answered."""
     for _, _, due in watching(stage).list.watches:
         due.cancel()
     stage.list.watches.clear()
 
 
 def moved(stage: Virtual) -> None:
-    """The service is down for eight seconds, then all are told at once that it has moved."""
+    """The service is down for eight seconds, then all balancers get its new address at once."""
     down(stage)
     for name in stage.services:
         address = ("10.2.0.1", 20_000 + int(name[1:]))
@@ -84,38 +84,38 @@
 TROUBLES: tuple[Callable[[Virtual], None], ...] = (restarted, reset, down, silent, moved)
 
 
-def play(stage: Virtual, trouble: Callable[[Virtual], None]) -> Seen:
+def play(stage: Virtual, trouble: Callable[[Virtual], None]) -> FleetResult:
     trouble(stage)
     t0 = stage.now()
     stage.list.change("s0", weight=2.0)
     wanted = stage.list.version
-    had: dict[str, int] = {}
+    received_at: dict[str, int] = {}
 
     def all_have() -> bool:
         for name, service in stage.services.items():
-            if name not in had and service.list_client.version >= wanted:
-                had[name] = stage.now() - t0
-        return len(had) == len(stage.services)
+            if name not in received_at and service.list_client.version >= wanted:
+                received_at[name] = stage.now() - t0
+        return len(received_at) == len(stage.services)
 
-    end = t0 + LONGEST
+    end = t0 + MAX_DURATION
     while not all_have() and stage.now() < end:
         stage.run(SECOND // 50)
     entries = [one for one in stage.record.entries if one["at"] >= t0]
     calls = [one["at"] for one in entries if one["what"] == "list call" and not one["wait"]]
     refused = sum(one["what"] == "list answer" and one["status"] == 503 for one in entries)
     seconds = Counter((at - t0) // SECOND for at in calls)
-    return Seen(sorted(had.values()), len(calls), refused, max(seconds.values(), default=0))
+    return FleetResult(sorted(received_at.values()), len(calls), refused, max(seconds.values(), default=0))
 
 
-def row(plays: list[Seen], balancers: int) -> str:
+def row(plays: list[FleetResult], balancers: int) -> str:
     def mean(values: list[float]) -> str:
         return f"{statistics.mean(values):6.1f}" if len(values) == len(plays) else "  none"
 
     def part(share: float) -> list[float]:
         at = max(round(share * balancers) - 1, 0)
-        return [one.had[at] / SECOND for one in plays if len(one.had) > at]
+        return [one.received_at[at] / SECOND for one in plays if len(one.received_at) > at]
 
-    in_time = [sum(at <= 6 * SECOND for at in one.had) for one in plays]
+    in_time = [sum(at <= 6 * SECOND for at in one.received_at) for one in plays]
     return (
         f"{mean(in_time)} | {mean(part(0.5))} | {mean(part(0.9))} | {mean(part(1.0))} |"
         f" {mean([one.calls for one in plays])} | {mean([one.refused for one in plays])} |"
@@ -124,20 +124,29 @@
 
 
 def main() -> None:
-    asks = argparse.ArgumentParser()
-    asks.add_argument("--balancers", type=int, default=200)
-    asks.add_argument("--capacity", type=float, default=28.0, help="calls a second")
-    asks.add_argument("--refusal-cost", type=float, default=0.3)
-    asks.add_argument("--ask-within", type=float, default=10.0, help="seconds")
-    asks.add_argument("--seeds", type=int, default=4)
-    told = asks.parse_args()
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--balancers", type=int, default=200)
+    parser.add_argument("--capacity", type=float, default=28.0, help="calls a second")
+    parser.add_argument("--refusal-cost", type=float, default=0.3)
+    parser.add_argument("--ask-within", type=float, default=10.0, help="seconds")
+    parser.add_argument("--seeds", type=int, default=4)
+    arguments = parser.parse_args()
     print("| trouble | have it by 6 s | half | nine in ten | all | calls | refused | most a second |")
     for trouble in TROUBLES:
         plays = [
-            play(fleet(told.balancers, told.capacity, told.refusal_cost, told.ask_within, seed), trouble)
-            for seed in range(told.seeds)
+            play(
+                fleet(
+                    arguments.balancers,
+                    arguments.capacity,
+                    arguments.refusal_cost,
+                    arguments.ask_within,
+                    seed,
+                ),
+                trouble,
+            )
+            for seed in range(arguments.seeds)
         ]
-        print(f"| {trouble.__name__:9} | {row(plays, told.balancers)}", flush=True)
+        print(f"| {trouble.__name__:9} | {row(plays, arguments.balancers)}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Lists with entries that can't be used, and what waits at the door when it closes."""
+"""Server lists with invalid entries, and clients in the backlog when the listener closes."""
 
 import socket
 
@@ -33,33 +33,33 @@
 
 @pytest.mark.parametrize("bad", BAD)
 def test_one_bad_entry_spoils_neither_the_list_nor_its_server(service: Service, bad: str) -> None:
-    """Guards against a list refused whole, and against a server taken to be gone for a slip in its entry."""
+    """A bad entry neither rejects the whole list nor marks its server as gone."""
     before = '{"version":1,"full":true,"servers":[{"id":"known","addr":"127.0.0.1:7"}]}'
     service.apply_list(decode_list(before), interface.ListKind.WHOLE)
-    (known,) = (one for event in service.policy_events for one in event.entries)
+    (known_entry,) = (entry for event in service.policy_events for entry in event.entries)
     service.apply_list(
         decode_list(f'{{"version":2,"full":true,"servers":[{bad},{GOOD}]}}'), interface.ListKind.WHOLE
     )
-    last = {one.server: one for event in service.policy_events for one in event.entries}
-    assert last.pop(service.server_index["good"]).state is interface.ServerState.READY
-    left_out = replace(known, state=interface.ServerState.GONE)
-    assert list(last.values()) == [known if "known" in bad else left_out]
+    latest = {entry.server: entry for event in service.policy_events for entry in event.entries}
+    assert latest.pop(service.server_index["good"]).state is interface.ServerState.READY
+    gone_entry = replace(known_entry, state=interface.ServerState.GONE)
+    assert list(latest.values()) == [known_entry if "known" in bad else gone_entry]
     assert service.logged_events.count("bad_entry") == 1
 
 
 @pytest.mark.parametrize("address", ["somewhere:80", "127.0.0.1:0", "127.0.0.1", "1.2.3:4", "::1:80"])
-def test_a_server_whose_address_is_no_figure_is_passed_over(service: Service, address: str) -> None:
-    """Guards against a look-up that stops the loop, or fails in the middle of a dial."""
+def test_a_server_without_a_numeric_address_is_skipped(service: Service, address: str) -> None:
+    """Names would need a look-up that blocks the loop; other bad addresses would fail during a dial."""
     text = f'{{"version":1,"full":true,"servers":[{{"id":"a","addr":"{address}"}},{GOOD}]}}'
     service.apply_list(decode_list(text), interface.ListKind.WHOLE)
     assert list(service.server_index) == ["good"]
     assert "bad_address" in service.logged_events
 
 
-def test_all_that_waits_at_the_door_is_taken_in_before_it_closes() -> None:
-    """Guards against resets of those that one turn does not reach, when a balancer is told to stop."""
+def test_the_backlog_is_accepted_before_the_listener_closes() -> None:
+    """At shutdown, clients beyond one accept batch would otherwise be reset."""
     service = object.__new__(Service)
-    service.loop = EventLoop(lambda fault: pytest.fail(str(fault)), 1024, System())
+    service.loop = EventLoop(lambda error: pytest.fail(str(error)), 1024, System())
     service.evictable, service.sessions, service.connections, service.is_evicting = {}, {}, {}, False
     service.stop_deadline = service.loop.now() + 30_000
     service.log = lambda *_, **__: None
@@ -76,8 +76,8 @@
             sock.close()
 
 
-def test_a_list_with_nothing_new_is_told_too(service: Service) -> None:
-    """Guards against a list that stays lost to the decisions when it is back with nothing new."""
+def test_a_list_without_changes_is_reported_too(service: Service) -> None:
+    """Otherwise the policy would not learn that the list is available again after an outage."""
     listing = decode_list(f'{{"version":1,"full":true,"servers":[{GOOD}]}}')
     for _ in range(2):
         service.apply_list(listing, interface.ListKind.WHOLE)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,14 +1,14 @@
-"""The moments of docs/crossings.md: what comes between two turns of the loop is laid there by hand."""
+"""Races between events (docs/crossings.md): the scenarios place events between two loop iterations."""
 
 from pathlib import Path
 
 import pytest
 
-from .crossings import Crossing
+from .crossings import SteppedScenario
 
 FOLDER = Path(__file__).parent / "scenarios" / "crossings"
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.glob("*.txt")), ids=lambda path: path.stem)
 def test_crossing(path: Path) -> None:
-    Crossing(path).run()
+    SteppedScenario(path).run()
--- a/tests/test_list_within.py
+++ b/tests/test_list_within.py
@@ -1,4 +1,4 @@
-"""Whatever fails, the list comes within 6 s of when it could be had: any settings, any row of failures."""
+"""The list arrives within 6 s of becoming available, with any settings and after any series of failures."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from .list_calls import TROUBLES, fleet, play, silent
-from .list_paths import FAILURES, SECOND, SLOWEST, Play
+from .list_paths import FAILURES, SECOND, SLOWEST_ANSWER, Play
 
 SITES = {
     "discovery": st.sampled_from(["on_request", "pushed"]),
@@ -17,26 +17,30 @@
     "drain_grace_us": st.one_of(st.sampled_from([0, 1_500_000, 120_000_000]), st.integers(0, 60_000_000)),
     "replicas": st.integers(1, 420),
     "seed": st.integers(0, 1 << 30),
-    "took": st.integers(0, SLOWEST),
+    "took": st.integers(0, SLOWEST_ANSWER),
 }
 SCRIPTS = st.lists(
     st.tuples(st.sampled_from(["served", "served", "served", *FAILURES]), st.floats(0, 1)), max_size=6
 )
-SITE = {"discovery": "on_request", "drain_grace_us": 2_000_000, "seed": 1, "took": SLOWEST}
+SITE = {"discovery": "on_request", "drain_grace_us": 2_000_000, "seed": 1, "took": SLOWEST_ANSWER}
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(script=SCRIPTS, site=st.fixed_dictionaries(SITES))
 def test_the_list_comes_in_time_after_any_row_of_failures(script: list, site: dict) -> None:
     play = Play(script, **site).run()
-    assert play.had and play.had <= play.due, (play.world.now() - play.since, script, site)
+    assert play.received_at and play.received_at <= play.due, (
+        play.world.now() - play.available_since,
+        script,
+        site,
+    )
 
 
 @pytest.mark.parametrize("replicas", [1, 40, 420])
 @pytest.mark.parametrize("ask_within_us", [10_000_000, 120_000_000])
 @pytest.mark.parametrize("failure", FAILURES)
 def test_each_failure_alone_and_after_itself(failure: str, ask_within_us: int, replicas: int) -> None:
-    """Of a call, of a watch, of several in a row, with the back-off that the ones before brought."""
+    """Failures of a request, of a watch and of several in a row, with the back-off that they cause."""
     site = SITE | {"ask_within_us": ask_within_us, "replicas": replicas}
     for script in (
         [],
@@ -47,14 +51,18 @@
     ):
         for seed in range(2):
             play = Play(script, **site | {"seed": seed}).run()
-            assert play.had and play.had <= play.due, (play.world.now() - play.since, script, seed)
+            assert play.received_at and play.received_at <= play.due, (
+                play.world.now() - play.available_since,
+                script,
+                seed,
+            )
 
 
 def test_those_whose_answers_never_end_ask_again_out_of_step() -> None:
-    """Guards against a bound that is kept by all calling at once."""
+    """The limit must not be met by all balancers calling at once."""
     site = SITE | {"ask_within_us": 10_000_000, "replicas": 200, "took": 0}
     plays = [Play([("served", 0), ("never ends", 0.7)], **site | {"seed": seed}).run() for seed in range(20)]
-    took = sorted(play.had - play.since for play in plays)
+    took = sorted(play.received_at - play.available_since for play in plays)
     assert took[-1] - took[0] > SECOND and took[10] - took[5] > SECOND // 10, took
 
 
@@ -63,8 +71,8 @@
 def test_a_fleet_spares_a_service_that_answers_a_few_calls_a_second(
     trouble: Callable, ask_within: float
 ) -> None:
-    """80 that all ask within 3.8 s, of a service that answers 20 a second and is held up by refusals."""
-    seen = play(fleet(80, 20, 0.3, ask_within, seed=1), trouble)
+    """80 balancers that all ask within 3.8 s; the service answers 20 a second and refusals cost it time."""
+    result = play(fleet(80, 20, 0.3, ask_within, seed=1), trouble)
     wait = min(ask_within / 2, 60) if trouble is silent else 0
-    assert len(seen.had) == 80 and seen.had[-1] <= max(6, wait + 2) * SECOND, seen
-    assert seen.refused == 0 and seen.peak <= 36, seen  # 21 in the mean
+    assert len(result.received_at) == 80 and result.received_at[-1] <= max(6, wait + 2) * SECOND, result
+    assert result.refused == 0 and result.peak <= 36, result  # 21 in the mean
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -1,4 +1,4 @@
-"""Fleets of thousands of servers: what a decision costs must not grow with the list."""
+"""Fleets of thousands of servers: the cost of a decision must not grow with the list."""
 
 import sys
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 from thymedeck.net.service import LIST_BATCH, Service
 
 SERVERS = 3_200
-FLEET = 200  # balancers that the settings tell of; one of them runs
+FLEET = 200  # balancers according to the settings; one of them runs
 RATE = 20.0  # sessions a second at this one
 DEADLINE = 12_000
 DRAIN_GRACE = 2 * SECOND
@@ -27,22 +27,22 @@
     return stage.loop.system.time_ns() / 1_000_000
 
 
-def list_part(stage: Stage, every: int, **more: object) -> None:
-    """The list tells this of every so-manieth server, in one answer."""
+def update_every(stage: Stage, every: int, **more: object) -> None:
+    """Changes every n-th server of the list in one answer."""
     part = list(stage.list.servers.values())[::every]
     stage.list.set(*(msgspec.structs.replace(one, **more) for one in part))
 
 
 def restart_half(stage: Processes) -> None:
-    list_part(stage, 2, started_ms=now_ms(stage))
+    update_every(stage, 2, started_ms=now_ms(stage))
 
 
 def restart_all(stage: Processes) -> None:
-    list_part(stage, 1, started_ms=now_ms(stage))
+    update_every(stage, 1, started_ms=now_ms(stage))
 
 
 def drain_half(stage: Processes) -> None:
-    list_part(stage, 2, state="DRAINING")
+    update_every(stage, 2, state="DRAINING")
 
 
 def hang_half(stage: Processes) -> None:
@@ -56,14 +56,14 @@
 
 
 def drain_and_return(stage: Processes) -> None:
-    """Half of them by turns, with a new configuration at each."""
+    """Half of the servers drain and return repeatedly, with a reload each time."""
     for turn in range(6):
         state = "SERVING" if turn % 2 else "DRAINING"
-        stage.loop.after(turn * SECOND // 2, lambda state=state: list_part(stage, 2, state=state))
+        stage.loop.after(turn * SECOND // 2, lambda state=state: update_every(stage, 2, state=state))
         stage.loop.after(turn * SECOND // 2, lambda: stage.reload("b0"))
 
 
-# Guards against requests that get no answer because a turn of the loop works through thousands of servers.
+# A loop iteration that works through thousands of servers would delay answers past their deadlines.
 @pytest.mark.parametrize(
     "trouble", [restart_half, restart_all, drain_half, hang_half, stop_a_third, drain_and_return]
 )
@@ -93,17 +93,17 @@
     assert not checks.drains_kept(entries, DRAIN_GRACE)
     assert not [one for one in log if one["event"] in ("fault", "text", "unanswered")]
     told = [one["version"] for one in stage.record.of("list answer")]
-    assert stage.list.version in told  # it heard of all changes
+    assert stage.list.version in told  # all changes were delivered
 
 
-USUAL = 200  # servers
-HELD = 100  # sessions that stand, whatever the servers
-CHANGED = 20  # servers, in a change of the list
-GROWTH = 1.5  # of the lines run; a walk over all servers would run 16 times as many
+SMALL_FLEET = 200  # servers
+SESSIONS = 100  # established, with any number of servers
+CHANGED_SERVERS = 20  # in one change of the list
+MAX_GROWTH = 1.5  # of the lines run; iterating over all servers would run 16 times as many
 
 
 def lines_run(call: Callable[[], object]) -> int:
-    """How many lines of Python it runs: a measure of its work that does not depend on the machine."""
+    """Counts the executed lines of Python: a measure of work that does not depend on the machine."""
     count = 0
 
     def trace(frame: FrameType, event: str, argument: object) -> Callable:
@@ -120,8 +120,8 @@
     return count
 
 
-def holding(servers: int) -> Service:
-    """A balancer with that many servers, a third of them just started, and HELD sessions on the others."""
+def service_with_sessions(servers: int) -> Service:
+    """A balancer with that many servers, a third of them just started, and SESSIONS on the others."""
     stage = Virtual(1, settings(FLEET, ["m1", "m2"], ["a", "b"]))
     now_ms = stage.ground.time_ns() / 1_000_000
     stage.known = [
@@ -130,14 +130,16 @@
     ]
     stage.start("b0")
     service = stage.services["b0"]
-    warm = [at for at in range(servers) if at % 3][:HELD]
-    for sess, server in enumerate(warm):
-        service.balancer.handle(service.loop.now(), interface.SessionRestored(sess, 0, None, None, server))
+    warm = [at for at in range(servers) if at % 3][:SESSIONS]
+    for session_id, server in enumerate(warm):
+        service.balancer.handle(
+            service.loop.now(), interface.SessionRestored(session_id, 0, None, None, server)
+        )
     return service
 
 
-def place(service: Service) -> int:
-    """Lines of ten placements, none of which is the first in a window of the cold servers."""
+def lines_of_placements(service: Service) -> int:
+    """Lines run by ten placements, none of them the first in an overload window of the cold servers."""
     now = service.loop.now()
     came = [interface.SessionArrived(10_000 + at, 0, DEADLINE, None, None, False) for at in range(11)]
     service.balancer.handle(now, came[0])
@@ -149,40 +151,40 @@
     return ServerList(version, full, [msgspec.Raw(msgspec.json.encode(row)) for row in rows])
 
 
-def change(service: Service) -> int:
-    drained = listing(2, dict.fromkeys(range(CHANGED), "DRAINING"))
+def lines_of_list_change(service: Service) -> int:
+    drained = listing(2, dict.fromkeys(range(CHANGED_SERVERS), "DRAINING"))
     return lines_run(lambda: service.on_list(drained))
 
 
-# Guards against work that grows with the list of servers where a decision or a look has to be made in time.
+# Decisions and periodic checks have to be made in time however long the list is.
 @pytest.mark.parametrize(
     "work",
-    [place, change, lambda service: lines_run(service.check_servers)],
+    [lines_of_placements, lines_of_list_change, lambda service: lines_run(service.check_servers)],
     ids=["placements", "change of the list", "look at what stands"],
 )
 def test_work_does_not_grow_with_the_list(work: Callable[[Service], int]) -> None:
-    assert work(holding(SERVERS)) < GROWTH * work(holding(USUAL))
+    assert work(service_with_sessions(SERVERS)) < MAX_GROWTH * work(service_with_sessions(SMALL_FLEET))
 
 
-# Guards against a long list that holds up all else, and against drains told late for it.
-def test_a_long_list_is_told_in_parts_and_drains_at_once() -> None:
-    service = holding(SERVERS)
+# A long list must not hold up other work, and drains must not wait for it.
+def test_a_long_list_is_delivered_in_batches_and_drains_at_once() -> None:
+    service = service_with_sessions(SERVERS)
     balancer = service.balancer
     handle, told = balancer.handle, []
 
-    def noted(now: int, event: interface.Event) -> list[interface.Action]:
+    def recording(now: int, event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.ServerListUpdated):
             told.append([(one.server, one.state) for one in event.entries])
         return handle(now, event)
 
-    balancer.handle = noted
+    balancer.handle = recording
     drained = range(1, SERVERS, 2)
     states = dict.fromkeys(range(SERVERS), "SERVING") | dict.fromkeys(drained, "DRAINING")
     service.on_list(listing(2, states, full=True))
     assert [at for at, _ in told[0]] == list(drained)
     assert balancer.most_listed == SERVERS
     assert {balancer.servers[at].state for at in drained} == {interface.ServerState.DRAINING}
-    # Before the rest is told one of it drains too, and one leaves the list.
+    # Before the rest is delivered one of its servers drains too, and one leaves the list.
     late, gone = SERVERS - 2, SERVERS - 4
     states[late] = "DRAINING"
     del states[gone]
@@ -197,19 +199,19 @@
     assert ready == {at for at, state in states.items() if state == "SERVING"}
 
 
-# Guards against a budget of cold servers that is taken from the first part of a list that is new.
-def test_all_that_a_new_list_names_counts_from_its_first_part_on() -> None:
-    service = holding(0)
+# The budget of cold servers must not be computed from the first batch of a new list.
+def test_the_whole_size_of_a_new_list_counts_from_its_first_batch_on() -> None:
+    service = service_with_sessions(0)
     service.on_list(listing(2, dict.fromkeys(range(SERVERS), "SERVING")))
     assert service.pending_updates
     assert service.balancer.most_listed == SERVERS
 
 
-def test_a_session_that_stood_on_a_server_not_told_yet_goes_there() -> None:
-    service = holding(USUAL)
-    states = dict.fromkeys(range(USUAL, USUAL + 2 * LIST_BATCH), "SERVING")
+def test_a_restored_session_reaches_a_server_that_is_still_queued() -> None:
+    service = service_with_sessions(SMALL_FLEET)
+    states = dict.fromkeys(range(SMALL_FLEET, SMALL_FLEET + 2 * LIST_BATCH), "SERVING")
     service.on_list(listing(2, states))
-    last = USUAL + 2 * LIST_BATCH - 1
+    last = SMALL_FLEET + 2 * LIST_BATCH - 1
     assert last in service.pending_updates and last not in service.balancer.servers
     client = Client(service, service.loop.system.stream())
     service.on_open_line(client, b"OPEN id1 key1 c=chat,d=1000,at=s%d" % last)
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,6 +1,6 @@
-"""Thirty real daemons restarted at once while the list service is of no help: nine in ten are ready in time.
+"""Thirty real balancers restarted at once while the list service fails: nine in ten are ready in time.
 
-`pytest -s` prints their times, from the start of the process to its PONG.
+The time runs from the start of the process to its PONG; `pytest -s` prints it.
 """
 
 import json
@@ -19,28 +19,30 @@
 
 from tests.helpers import SETTINGS
 
-FLEET = 30
-WITHIN = 10.0  # seconds, for nine in ten
-WORK = 0.25  # that an overbooked service has for a call
-BORNE = 1.0  # that a call waits there before it is turned away
+FLEET_SIZE = 30
+READY_TIMEOUT_SECONDS = 10.0  # for nine in ten
+WORK_SECONDS = 0.25  # per request at an overloaded service
+MAX_WAIT_SECONDS = 1.0  # a request waits this long before it is refused
 
 
-class Call(socketserver.StreamRequestHandler):
+class ListRequestHandler(socketserver.StreamRequestHandler):
+    """Answers a list request with the method named by the server's `behaviour`."""
+
     def handle(self) -> None:
         target = self.rfile.readline().split()[1]
         while self.rfile.readline().strip():
             pass
         self.server.calls += 1
-        getattr(self, self.server.how)(b"wait=" in target and not target.endswith(b"wait=0"))
+        getattr(self, self.server.behaviour)(b"wait=" in target and not target.endswith(b"wait=0"))
 
     def answer(self, status: bytes, body: bytes, length: int) -> None:
         head = b"HTTP/1.1 %s\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % (status, length)
         self.wfile.write(head + body)
 
     def overbooked(self, _: bool) -> None:
-        """Works through calls in turn, and turns those away that have waited too long."""
-        if self.server.turn.acquire(timeout=BORNE):
-            self.server.done.wait(WORK)
+        """Answers one request at a time and refuses those that have waited too long."""
+        if self.server.turn.acquire(timeout=MAX_WAIT_SECONDS):
+            self.server.done.wait(WORK_SECONDS)
             self.server.turn.release()
             self.stale(False)
         else:
@@ -52,7 +54,7 @@
             self.wfile.write(b" ")
 
     def stale(self, watches: bool) -> None:
-        """An old list, of which it takes nothing to be newer."""
+        """Answers with an old list and lets watches wait forever."""
         if watches:
             self.server.done.wait()
         entry = {"id": "old", "addr": "127.0.0.1:9", "zone": "z", "state": "SERVING"}
@@ -60,27 +62,27 @@
         self.answer(b"200 OK", body, len(body))
 
 
-class Lists(socketserver.ThreadingTCPServer):
+class StubListServer(socketserver.ThreadingTCPServer):
     daemon_threads = True
-    request_queue_size = 4 * FLEET
+    request_queue_size = 4 * FLEET_SIZE
 
-    def __init__(self, how: str) -> None:
-        super().__init__(("127.0.0.1", 0), Call, bind_and_activate=False)
-        self.how = how
+    def __init__(self, behaviour: str) -> None:
+        super().__init__(("127.0.0.1", 0), ListRequestHandler, bind_and_activate=False)
+        self.behaviour = behaviour
         self.calls = 0
         self.turn = threading.Lock()
         self.done = threading.Event()
         self.server_bind()
-        if how != "down":
+        if behaviour != "down":
             self.server_activate()
             threading.Thread(target=self.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
 
     def handle_error(self, *_: object) -> None:
-        """Its callers are killed."""
+        """Ignores errors: the clients are killed."""
 
     def end(self) -> None:
         self.done.set()
-        if self.how != "down":
+        if self.behaviour != "down":
             self.shutdown()
         self.socket.close()
 
@@ -99,40 +101,42 @@
         self.processes = []
 
     def restart(self, discovery: str) -> list[float]:
-        """How long each took; those that took longer than is looked at are left out."""
+        """Restarts all and returns the sorted times until they were ready, without those that timed out."""
         self.kill()
         selector = selectors.DefaultSelector()
         known = {"version": 5, "full": True, "servers": [{"id": "a", "addr": "127.0.0.1:9", "zone": "z"}]}
-        told = {"listen": "127.0.0.1:0", "discovery": discovery, "known": known}
-        for at in range(FLEET):
-            file = self.folder / f"{at}.json"
+        config = {"listen": "127.0.0.1:0", "discovery": discovery, "known": known}
+        for index in range(FLEET_SIZE):
+            file = self.folder / f"{index}.json"
             file.write_text(
-                json.dumps({"name": f"b{at}", "settings": {**SETTINGS, "discovery": "pushed"}, **told})
+                json.dumps({"name": f"b{index}", "settings": {**SETTINGS, "discovery": "pushed"}, **config})
             )
-            code = [sys.executable, "-m", "thymedeck", "serve", "--config", str(file)]
-            began = time.monotonic()
-            self.processes.append(subprocess.Popen(code, stdout=subprocess.PIPE))
-            selector.register(self.processes[-1].stdout, selectors.EVENT_READ, (began, bytearray()))
+            command = [sys.executable, "-m", "thymedeck", "serve", "--config", str(file)]
+            started_at = time.monotonic()
+            self.processes.append(subprocess.Popen(command, stdout=subprocess.PIPE))
+            selector.register(self.processes[-1].stdout, selectors.EVENT_READ, (started_at, bytearray()))
         took: list[float] = []
-        until = time.monotonic() + WITHIN + 1
-        while len(took) < FLEET and (left := until - time.monotonic()) > 0:
-            for key, _ in selector.select(left):
-                began, held = key.data
-                held += os.read(key.fd, 65536)
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS + 1
+        while len(took) < FLEET_SIZE and (remaining := deadline - time.monotonic()) > 0:
+            for key, _ in selector.select(remaining):
+                started_at, received = key.data
+                received += os.read(key.fd, 65536)
                 if isinstance(key.fileobj, socket.socket):
                     selector.unregister(key.fileobj)
-                    assert held == b"PONG\r\n"
-                    took.append(time.monotonic() - began)
+                    assert received == b"PONG\r\n"
+                    took.append(time.monotonic() - started_at)
                     key.fileobj.close()
                     continue
-                assert held, "it has ended"
-                lines = [line for line in held.splitlines() if b'"started"' in line and line.endswith(b"}")]
+                assert received, "the process has ended"
+                lines = [
+                    line for line in received.splitlines() if b'"started"' in line and line.endswith(b"}")
+                ]
                 if lines:
                     selector.unregister(key.fileobj)
                     host, _, port = json.loads(lines[0])["listen"].rpartition(":")
-                    sock = socket.create_connection((host, int(port)), timeout=WITHIN)
+                    sock = socket.create_connection((host, int(port)), timeout=READY_TIMEOUT_SECONDS)
                     sock.sendall(b"PING\r\n")
-                    selector.register(sock, selectors.EVENT_READ, (began, bytearray()))
+                    selector.register(sock, selectors.EVENT_READ, (started_at, bytearray()))
         for key in list(selector.get_map().values()):
             if isinstance(key.fileobj, socket.socket):
                 key.fileobj.close()
@@ -144,20 +148,22 @@
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Fleet]:
     fleet = Fleet(tmp_path_factory.mktemp("fleet"))
     try:
-        fleet.restart("127.0.0.1:9")  # so that every case starts again what has run
+        fleet.restart("127.0.0.1:9")  # so that each case is a restart
         yield fleet
     finally:
         fleet.kill()
 
 
-@pytest.mark.parametrize("how", ["down", "overbooked", "slow", "stale"])
-def test_nine_in_ten_restarted_are_ready_in_time(fleet: Fleet, how: str) -> None:
-    lists = Lists(how)
+@pytest.mark.parametrize("behaviour", ["down", "overbooked", "slow", "stale"])
+def test_nine_in_ten_restarted_are_ready_in_time(fleet: Fleet, behaviour: str) -> None:
+    list_server = StubListServer(behaviour)
     try:
-        took = fleet.restart("{}:{}".format(*lists.server_address))
+        took = fleet.restart("{}:{}".format(*list_server.server_address))
     finally:
-        lists.end()
-    shown = {part: f"{took[min(int(part * FLEET), len(took)) - 1]:.2f}" for part in (0.5, 0.9, 1) if took}
-    print(f"\n{how}: {len(took)} of {FLEET} ready, after so many s {shown}, {lists.calls} calls for the list")
-    assert sum(one <= WITHIN for one in took) >= 0.9 * FLEET, took
-    assert (lists.calls > 0) is (how != "down"), "the service is not what it is to be"
+        list_server.end()
+    quantiles = {
+        share: f"{took[min(int(share * FLEET_SIZE), len(took)) - 1]:.2f}" for share in (0.5, 0.9, 1) if took
+    }
+    print(f"\n{behaviour}: {len(took)} of {FLEET_SIZE} ready, seconds {quantiles}, {list_server.calls} calls")
+    assert sum(seconds <= READY_TIMEOUT_SECONDS for seconds in took) >= 0.9 * FLEET_SIZE, took
+    assert (list_server.calls > 0) is (behaviour != "down"), "the list service did not behave as configured"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What the program needs at its start, on a platform that counts processor time and refuses some calls."""
+"""The start of the program: signals on restricted platforms, imports, bad configuration files, stalls."""
 
 import contextlib
 import json
@@ -21,81 +21,81 @@
 HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-class Hearing:
-    """Stands in for the service that a signal is to reach."""
+class FakeService:
+    """Records the calls that a signal causes."""
 
     def __init__(self) -> None:
-        self.loop = EventLoop(lambda fault: pytest.fail(str(fault)), 64, System())
-        self.heard: list[str] = []
+        self.loop = EventLoop(lambda error: pytest.fail(str(error)), 64, System())
+        self.received: list[str] = []
 
     def reload(self) -> None:
-        self.heard.append("reload")
+        self.received.append("reload")
 
     def stop(self) -> None:
-        self.heard.append("stop")
+        self.received.append("stop")
 
 
 @contextlib.contextmanager
-def signals_heard() -> Iterator[Hearing]:
-    before = {which: signal.getsignal(which) for which in HANDLED}
-    hearing = Hearing()
+def signal_receiver() -> Iterator[FakeService]:
+    before = {number: signal.getsignal(number) for number in HANDLED}
+    service = FakeService()
     receiver = SignalReceiver()
     try:
-        receiver.attach(hearing)
-        yield hearing
+        receiver.attach(service)
+        yield service
     finally:
         os.close(signal.set_wakeup_fd(-1))
-        for which, handler in before.items():
-            signal.signal(which, handler)
+        for number, handler in before.items():
+            signal.signal(number, handler)
         os.close(receiver.read_end)
 
 
-def hear_both(hearing: Hearing) -> None:
-    for which, heard in ((signal.SIGHUP, "reload"), (signal.SIGTERM, "stop")):
-        signal.raise_signal(which)
-        hearing.loop.after(50_000, lambda: pytest.fail("the loop slept through a signal"))
-        while not hearing.heard:
-            hearing.loop.run_once()
-        assert hearing.heard.pop() == heard
+def send_both_signals(service: FakeService) -> None:
+    for number, received in ((signal.SIGHUP, "reload"), (signal.SIGTERM, "stop")):
+        signal.raise_signal(number)
+        service.loop.after(50_000, lambda: pytest.fail("the loop slept through a signal"))
+        while not service.received:
+            service.loop.run_once()
+        assert service.received.pop() == received
 
 
-def test_signals_reach_the_loop_where_sockets_to_oneself_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """There are platforms without Unix sockets, and others where UDP to oneself is taken and never comes."""
-    monkeypatch.setattr(socket, "socket", lambda *_, **__: pytest.fail("a socket was asked for"))
-    monkeypatch.setattr(socket, "socketpair", lambda *_: pytest.fail("a Unix socket was asked for"))
-    with signals_heard() as hearing:
-        hear_both(hearing)
+def test_signals_work_without_sockets_to_oneself(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Some platforms refuse Unix sockets, others accept UDP to oneself and never deliver it."""
+    monkeypatch.setattr(socket, "socket", lambda *_, **__: pytest.fail("a socket was opened"))
+    monkeypatch.setattr(socket, "socketpair", lambda *_: pytest.fail("a Unix socket was opened"))
+    with signal_receiver() as service:
+        send_both_signals(service)
 
 
-def test_signals_are_heard_where_what_wakes_the_loop_is_lost() -> None:
-    with signals_heard() as hearing:
+def test_signals_are_handled_if_the_wake_up_is_lost() -> None:
+    with signal_receiver() as service:
         written = signal.set_wakeup_fd(-1)
         try:
-            hear_both(hearing)
+            send_both_signals(service)
         finally:
             signal.set_wakeup_fd(written)
 
 
 def test_serving_imports_nothing_that_it_does_not_use() -> None:
-    """Guards against processor time at each of many starts: a herd that restarts waits for all of it."""
-    spared = ("asyncio", "concurrent", "email", "http", "logging", "multiprocessing", "ssl", "subprocess")
-    spared += ("matplotlib", "numpy", "thymedeck.lab")  # what the laboratory computes with
-    told = subprocess.run(
-        [sys.executable, "-c", f"import sys, thymedeck.__main__; print(set({spared!r}) & set(sys.modules))"],
+    """Unused imports cost processor time at each start; a restarting fleet waits for all of it."""
+    unused = ("asyncio", "concurrent", "email", "http", "logging", "multiprocessing", "ssl", "subprocess")
+    unused += ("matplotlib", "numpy", "thymedeck.lab")  # used by the lab only
+    result = subprocess.run(
+        [sys.executable, "-c", f"import sys, thymedeck.__main__; print(set({unused!r}) & set(sys.modules))"],
         capture_output=True,
         text=True,
     )
-    assert told.stdout.strip() == "set()", told.stderr
+    assert result.stdout.strip() == "set()", result.stderr
 
 
-def test_serving_without_peers_knows_nothing_of_them() -> None:
-    told = subprocess.run(
+def test_serving_without_peers_does_not_import_them() -> None:
+    result = subprocess.run(
         [sys.executable, "-c", "import sys, thymedeck.__main__, thymedeck.net.service; print(*sys.modules)"],
         capture_output=True,
         text=True,
     )
-    assert "thymedeck.net.service" in told.stdout, told.stderr
-    assert "thymedeck.peers" not in told.stdout
+    assert "thymedeck.net.service" in result.stdout, result.stderr
+    assert "thymedeck.peers" not in result.stdout
 
 
 WHILE_STARTING = """
@@ -113,48 +113,48 @@
 """
 
 
-@pytest.mark.parametrize(("which", "heard"), [("SIGHUP", "reloaded"), ("SIGTERM", "stopping")])
-def test_a_signal_while_the_program_starts_is_heard_once_it_serves(
-    which: str, heard: str, tmp_path: Path
+@pytest.mark.parametrize(("signal_name", "log_event"), [("SIGHUP", "reloaded"), ("SIGTERM", "stopping")])
+def test_a_signal_during_the_start_is_handled_once_it_serves(
+    signal_name: str, log_event: str, tmp_path: Path
 ) -> None:
-    """It comes in the middle of the imports, before anything could handle it."""
-    told = {"name": "b", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
+    """The signal arrives during the imports, before a handler is installed."""
+    config = {"name": "b", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
     file = tmp_path / "told.json"
-    file.write_text(json.dumps(told))
-    code = WHILE_STARTING.format(which)
+    file.write_text(json.dumps(config))
+    code = WHILE_STARTING.format(signal_name)
     with subprocess.Popen(
         [sys.executable, "-c", code, "serve", "--config", str(file)], stdout=subprocess.PIPE, text=True
     ) as program:
         try:
-            assert any(f'"{heard}"' in line for line in program.stdout)
+            assert any(f'"{log_event}"' in line for line in program.stdout)
         finally:
             program.kill()
 
 
 def test_a_fault_in_a_reload_does_not_lose_the_stop_that_came_with_it() -> None:
-    with signals_heard() as hearing:
-        hearing.loop.on_exception = lambda fault: hearing.heard.append(str(fault))
-        hearing.reload = lambda: 1 / 0
-        hearing.loop.after(20_000, lambda: pytest.fail("the stop was lost"))
+    with signal_receiver() as service:
+        service.loop.on_exception = lambda error: service.received.append(str(error))
+        service.reload = lambda: 1 / 0
+        service.loop.after(20_000, lambda: pytest.fail("the stop was lost"))
         signal.raise_signal(signal.SIGHUP)
         signal.raise_signal(signal.SIGTERM)
-        while len(hearing.heard) < 2:
-            hearing.loop.run_once()
-        assert hearing.heard == ["division by zero", "stop"]
+        while len(service.received) < 2:
+            service.loop.run_once()
+        assert service.received == ["division by zero", "stop"]
 
 
 @pytest.mark.parametrize("text", ["[" * 200_000, '{"settings":' * 200_000, "{", "", "\xff", "null"])
 def test_a_file_that_cannot_be_read_gets_one_line(text: str, tmp_path: Path) -> None:
     file = tmp_path / "told.json"
     file.write_text(text, encoding="latin-1")
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "thymedeck", "check", "--config", str(file)], capture_output=True, text=True
     )
-    assert told.returncode == 2 and told.stderr.count("\n") == 1, told.stderr
+    assert result.returncode == 2 and result.stderr.count("\n") == 1, result.stderr
 
 
 class WokenSelector:
-    """Finds nothing in a wait in which the process stood still, as the system's own does."""
+    """Returns no events from a wait during which the process was stalled, like the system's selector."""
 
     def __init__(self, now: list[int], ready: list) -> None:
         self.now = now
@@ -168,19 +168,19 @@
         if wait:
             self.now[0] += 80_000
             return []
-        return [(SimpleNamespace(data=one), 1) for one in self.ready]
+        return [(SimpleNamespace(data=handler), 1) for handler in self.ready]
 
 
-def test_after_standing_still_what_waits_is_read_before_timers_and_the_list_first() -> None:
-    """Else an answer that has come is taken for missing, and sessions are sent by the old list."""
+def test_after_a_stall_waiting_data_is_read_before_timers_and_the_list_first() -> None:
+    """Else an answer that has arrived counts as missing, and sessions are placed by the old list."""
     now, order = [1_000], []
     session = SimpleNamespace(on_ready=lambda mask: order.append("session"))
-    news = SimpleNamespace(on_ready=lambda mask: order.append("list"))
+    list_connection = SimpleNamespace(on_ready=lambda mask: order.append("list"))
     system = SimpleNamespace(
-        monotonic_ns=lambda: now[0] * 100_000, selector=lambda: WokenSelector(now, [session, news])
+        monotonic_ns=lambda: now[0] * 100_000, selector=lambda: WokenSelector(now, [session, list_connection])
     )
-    loop = EventLoop(lambda fault: pytest.fail(str(fault)), 64, system)
-    loop.priority_handler = news
+    loop = EventLoop(lambda error: pytest.fail(str(error)), 64, system)
+    loop.priority_handler = list_connection
     loop.after(20_000, lambda: order.append("timer"))
     loop.run_once()
     assert order == ["list", "session", "timer"]
