--- a/thymedeck/net/load_reports.py
+++ b/thymedeck/net/load_reports.py
@@ -7,9 +7,7 @@
 """
 
 REPORT_PERIOD = 10_000
-DETECTION_TOLERANCE = (
-    10  # around one period after the last line of a connection; two loads are rarely so apart
-)
+DETECTION_TOLERANCE = 10  # around one period after a connection's last line, where loads rarely arrive
 TRACKING_TOLERANCE = 20  # around the next expected report; once one is missed, the phase must be found again
 
 
--- a/thymedeck/net/servers.py
+++ b/thymedeck/net/servers.py
@@ -40,7 +40,7 @@
     """One dial: it may fail until the server's first line; from then on it carries the session."""
 
     def __init__(
-        self, service: "Service", client: "Client", server: int, connect_within: int, time_limit: int
+        self, service: "Service", client: "Client", server: int, connect_timeout: int, time_limit: int
     ) -> None:
         super().__init__(service.loop, service.loop.system.stream())
         self.service = service
@@ -53,7 +53,7 @@
         self.line_splitter = LineSplitter()
         self.loads = SessionLoads()
         self.eof_ending = Ending.SERVER_ENDED  # what an end of stream would mean now
-        self.connect_timer = self.loop.after(connect_within, self.on_connect_timeout)
+        self.connect_timer = self.loop.after(connect_timeout, self.on_connect_timeout)
         self.limit_timer = self.loop.after(time_limit, self.on_time_limit)
 
     def start(self, line: bytes) -> None:
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -253,7 +253,7 @@
             verb, identifier, key, text = line.split(b" ")
             pairs = [part.partition(b"=") for part in text.split(b",")]
             parameters = {name: value for name, _, value in pairs}
-            wait = int(parameters[b"d"]) * 10
+            budget = int(parameters[b"d"]) * 10
             listener = self.listeners[parameters[b"c"]]
             hint = float(parameters[b"h"]) if b"h" in parameters else None
             if (
@@ -261,7 +261,7 @@
                 or not (is_printable_word(identifier) and is_printable_word(key) and is_printable_word(text))
                 or len(parameters) < len(pairs)
                 or not parameters[b"d"].isdigit()
-                or wait > 10 * MAX_DEADLINE_MS
+                or budget > 10 * MAX_DEADLINE_MS
                 or not 0 <= (hint or 0) < MAX_LOAD
                 or client.inbound.used  # clients must wait for the answer
                 or identifier in self.open_identifiers  # new with every connection: that session is another's
@@ -275,14 +275,14 @@
         shown = [(name, b"\0" if name == b"d" else value) for name, _, value in pairs]
         self.evictable.pop(client, None)
         client.open_words = [verb, identifier, key, b",".join(b"%s=%s" % pair for pair in shown)]
-        subject = key.decode("latin-1")
+        client_key = key.decode("latin-1")
         session_id = client.session_id = self.next_session_id
         self.next_session_id += 1
         self.log(
             "came",
             sess=session_id,
             id=identifier.decode(),
-            key=subject,
+            key=client_key,
             listener=listener,
             figures=text.decode("latin-1"),
         )
@@ -296,16 +296,16 @@
             self.add_session(client)
             client.restored_server = server
             client.restore_deadline = self.loop.now() + RESTORE_TIMEOUT
-            self.handle_event(interface.SessionRestored(session_id, listener, hint, subject, server))
+            self.handle_event(interface.SessionRestored(session_id, listener, hint, client_key, server))
             self.dial_restored(client)
             return
         self.add_session(client)
         # The time that the line may have waited unread counts towards the client's deadline.
-        wait = max(wait - self.loop.max_unread_time(), 0)
-        client.start_answer_timer(wait)
+        budget = max(budget - self.loop.max_unread_time(), 0)
+        client.start_answer_timer(budget)
         self.handle_event(
             interface.SessionArrived(
-                session_id, listener, wait, hint, subject, parameters.get(b"mid_flow") == b"1"
+                session_id, listener, budget, hint, client_key, parameters.get(b"mid_flow") == b"1"
             )
         )
 
@@ -338,7 +338,7 @@
                 oldest.close()
         self.is_evicting = False
 
-    def start_dial(self, client: Client, server: int, connect_within: int, limit: int) -> bool:
+    def start_dial(self, client: Client, server: int, connect_timeout: int, limit: int) -> bool:
         """Returns whether the dial was started: the client is still connected and a socket was free."""
         # The client may have closed while this iteration ran, with the end of stream still unread.
         client.read()
@@ -350,7 +350,7 @@
             self.log("no_sockets", why="sessions hold all")
             return False
         try:
-            client.dial = DialConnection(self, client, server, connect_within, limit)
+            client.dial = DialConnection(self, client, server, connect_timeout, limit)
         except OSError as error:
             self.log("no_sockets", why=str(error))
             return False
@@ -476,23 +476,25 @@
             if not (server.sessions or server.delays):
                 del self.active_servers[index]
                 continue
-            late = [one for one in server.sessions if one.unanswered_since >= 0]
-            delays = sorted([*server.delays, *(now - one.unanswered_since for one in late)])
+            waiting_clients = [one for one in server.sessions if one.unanswered_since >= 0]
+            delays = sorted([*server.delays, *(now - one.unanswered_since for one in waiting_clients)])
             server.delays.clear()
-            answers = len(late) < len(delays)
+            has_answers = len(waiting_clients) < len(delays)
             # One dead connection says nothing of its server, and a server that has stopped answering must not
             # pass for a slow one because its latest lines have not waited long yet.
-            server.is_unresponsive = not answers and (server.is_unresponsive or len(late) >= MIN_UNANSWERED)
-            if answers or (server.is_unresponsive and late):
+            server.is_unresponsive = not has_answers and (
+                server.is_unresponsive or len(waiting_clients) >= MIN_UNANSWERED
+            )
+            if has_answers or (server.is_unresponsive and waiting_clients):
                 delay = delays[-1] if server.is_unresponsive else delays[len(delays) // 2]
-                slow = 3 * delay > self.balancer.shortest_aim
-                if slow or server.is_slow:
-                    client = next(iter(late or server.sessions), None)
+                is_slow = 3 * delay > self.balancer.shortest_aim
+                if is_slow or server.is_slow:
+                    client = next(iter(waiting_clients or server.sessions), None)
                     self.handle_event(
                         interface.DelayReported(-1 if client is None else client.session_id, index, delay)
                     )
-                server.is_slow = slow
-            for client in late:
+                server.is_slow = is_slow
+            for client in waiting_clients:
                 timeout = UNRESPONSIVE_SILENCE_TIMEOUT if server.is_unresponsive else SILENCE_TIMEOUT
                 if not client.is_moving and now - client.unanswered_since >= timeout:
                     self.log("silent", sess=client.session_id, server=index)
