--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -13,8 +13,8 @@
 import msgspec
 import pytest
 
-from thymedeck.lab.standins import Door
-from thymedeck.lab.world import Machine, World
+from thymedeck.lab.standins import ListeningSocket
+from thymedeck.lab.world import Machine, VirtualNetwork
 from thymedeck.net.config_file import BalancerConfig, StartupConfig
 from thymedeck.net.connection import Connection
 from thymedeck.net.loop import EventLoop
@@ -89,11 +89,11 @@
         self, script: list[tuple[str, float]], discovery: str, ask_within_us: int, drain_grace_us: int,
         replicas: int, seed: int, took: int,
     ) -> None:  # fmt: skip
-        self.world = World(DELAY_NS)
+        self.world = VirtualNetwork(DELAY_NS)
         self.script = script
         self.request_count = self.available_since = self.silence = self.received_at = 0
         self.failure: tuple[str, float] | None = None
-        self.listeners: dict[tuple[str, int], Door] = {}
+        self.listeners: dict[tuple[str, int], ListeningSocket] = {}
         self.server_loop = self.add_loop(EventLoop(self.log_exception, 4096, Machine(self.world, LIST[0])))
         self.open_doors()
         env = msgspec.json.decode(msgspec.json.encode(SETTINGS))
@@ -127,7 +127,7 @@
     def open_doors(self) -> None:
         for address in (LIST, MOVED):
             if address not in self.listeners:
-                self.listeners[address] = Door(self.server_loop, address, self.take)
+                self.listeners[address] = ListeningSocket(self.server_loop, address, self.take)
 
     def take(self, sock: object, source: tuple[str, int]) -> None:
         self.world.delay_ns = DELAY_NS
@@ -146,7 +146,7 @@
         if self.failure:
             self.available_since = self.world.now()
             self.silence = 0 if is_new else int(fields["wait"]) * 10 + SILENCE_LIMIT
-        self.world.cut.discard(LIST[0])
+        self.world.isolated_hosts.discard(LIST[0])
         self.world.delay_ns = SLOW_CONNECT_NS if kind == "up late" and is_new else DELAY_NS
         if kind == "refused":
             for address in list(self.listeners):
@@ -154,7 +154,7 @@
         else:
             self.open_doors()
         if kind == "never up":
-            self.world.cut.add(LIST[0])
+            self.world.isolated_hosts.add(LIST[0])
 
     def listed(self, listing: object) -> None:
         if self.request_count > len(self.script) and not self.received_at:
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from thymedeck import interface
-from thymedeck.lab.cold import LISTENER, SITE
+from thymedeck.lab.cold import DEPLOYMENT, LISTENER
 from thymedeck.policy.balancer import CAP, Balancer, Session
 from thymedeck.policy.candidates import AgeStage, ColdGroup, Group, GroupKey
 from thymedeck.policy.server import FADE_TIME, SECOND, Server
@@ -34,7 +34,9 @@
     def __init__(self, seed: int, probes: bool) -> None:
         self.chance = random.Random(seed)
         listeners = (LISTENER, *SCOPES)
-        site = replace(SITE, listeners=listeners, replicas=3, may_probe=probes, cross_zone_price=0.1 * probes)
+        site = replace(
+            DEPLOYMENT, listeners=listeners, replicas=3, may_probe=probes, cross_zone_price=0.1 * probes
+        )
         self.balancer = Balancer(seed, site)
         self.now = 100 * SECOND
         self.next_sess = 0
@@ -50,7 +52,7 @@
         state = chance.choice(
             [interface.ServerState.READY] * 4 + [interface.ServerState.DRAINING, interface.ServerState.GONE]
         )
-        started = chance.choice([0, 0, 1, self.now, self.now - SITE.warm_after - SECOND])
+        started = chance.choice([0, 0, 1, self.now, self.now - DEPLOYMENT.warm_after - SECOND])
         return interface.ServerEntry(
             at, at % 2, at // 4, state, started, chance.choice([1e-6, 0.5, 1.0, 1e9]), at % 3
         )
@@ -209,7 +211,7 @@
 
 # Guards against cold servers with room being drawn without regard to weights and kinds of machine.
 def test_cold_servers_are_drawn_by_weight_and_kind() -> None:
-    site = replace(SITE, replicas=1, quota_connections=1e6)
+    site = replace(DEPLOYMENT, replicas=1, quota_connections=1e6)
     balancer = Balancer(1, site)
     now = 100 * SECOND
     weights = {0: 1.0, 1: 3.0, 2: 1.0}
@@ -234,7 +236,7 @@
 
 # Guards against a zone that is cut off being kept in use, as if the fault were the balancer's own.
 def test_another_zone_is_taken_out_while_the_own_one_is_well() -> None:
-    balancer = Balancer(1, SITE)
+    balancer = Balancer(1, DEPLOYMENT)
     listed = [interface.ServerEntry(at, int(at > 0), 0, interface.ServerState.READY, 0) for at in range(4)]
     balancer.handle(SECOND, interface.ServerListUpdated(interface.ListKind.SAVED, listed))
     for at in (1, 2, 3):
@@ -245,7 +247,7 @@
 
 
 def test_a_server_that_holds_nothing_has_the_sum_zero_whatever_the_rounding() -> None:
-    balancer = Balancer(1, SITE)
+    balancer = Balancer(1, DEPLOYMENT)
     balancer.handle(
         SECOND,
         interface.ServerListUpdated(
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -43,7 +43,7 @@
 from thymedeck.lab.configuration_fleet import Fleet, Node
 from thymedeck.lab.configuration_scenarios import SCENARIOS, Options, ScenarioRun
 from thymedeck.lab.faults import Fault
-from thymedeck.peers.stated import Unfit as SettingsError
+from thymedeck.peers.settings import SettingsFileError
 
 IN_FORCE_WITHIN = Parameters().in_force_within
 HOUR = 3600 * SECOND
@@ -654,7 +654,7 @@
         ),
         ({"keepers": ["127.0.0.1:1"] * 3}, "keepers: an address is listed twice"),
         ({"keepers": ["there:1"] * 3}, "keepers: 'there' is not an IPv4 address"),
-        ({"ask_every": "1"}, "ask_every: '1' is not a figure with a unit of ms, s, min"),
+        ({"ask_every": "1"}, "ask_every: '1' is not a number with one of the units ms, s, min"),
         (
             {"ask_every": "2 s"},
             "in_force_within: '3 s' is less than ask_every plus answer_within for each keeper",
@@ -669,6 +669,6 @@
 )
 def test_invalid_settings_are_refused_with_one_line(tmp_path: Path, changed: dict, line: str) -> None:
     path = settings_file(tmp_path, **changed)
-    with pytest.raises(SettingsError) as error:
+    with pytest.raises(SettingsFileError) as error:
         read_settings(path)
     assert str(error.value) == f"{path}: {line}"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 
 from tests.helpers import DEPLOYMENT, list_only_service
 from thymedeck import interface
-from thymedeck.net.config_file import ListedServer, ServerList
+from thymedeck.net.config_file import ServerList, ServerListEntry
 from thymedeck.net.service import Service
 from thymedeck.policy import Balancer
 
@@ -120,7 +120,7 @@
     """Guards against dials to where it was, and against taking a cold server for the warm one it was."""
     service = list_only_service()
     for address, started_ms in (("127.0.0.1:1", 0), ("127.0.0.2:2", 700), ("nowhere", 900)):
-        row = ListedServer(id="s", addr=address, zone="z", kind="big", started_ms=started_ms)
+        row = ServerListEntry(id="s", addr=address, zone="z", kind="big", started_ms=started_ms)
         raw = msgspec.Raw(msgspec.json.encode(row))
         service.apply_list(ServerList(version=1, full=True, servers=[raw]), interface.ListKind.WHOLE)
     assert [known.address for known in service.servers] == [("127.0.0.2", 2)]
--- a/thymedeck/__main__.py
+++ b/thymedeck/__main__.py
@@ -43,9 +43,9 @@
         start = read_startup_config(arguments.config)
         join = None
         if arguments.peers:
-            from .peers.start import prepared
+            from .peers.start import prepare_peers
 
-            join = prepared(arguments.peers, start)
+            join = prepare_peers(arguments.peers, start)
         if signals is None:
             print(f"{arguments.config}: ok, {len(start.config.settings.listeners)} listeners")
             return 0
--- a/thymedeck/net/config_file.py
+++ b/thymedeck/net/config_file.py
@@ -17,7 +17,7 @@
     """The balancer cannot start with its configuration; the text says why."""
 
 
-class ListedServer(msgspec.Struct):
+class ServerListEntry(msgspec.Struct):
     """An entry of a server list."""
 
     id: str
@@ -35,7 +35,7 @@
 
     version: int
     full: bool = False
-    servers: list[msgspec.Raw] = []  # a ListedServer each; decoded one by one
+    servers: list[msgspec.Raw] = []  # a ServerListEntry each; decoded one by one
 
 
 class Limits(msgspec.Struct):
@@ -74,7 +74,7 @@
 MAX_STARTED_MS = 1e15  # entries with larger values than these are rejected
 MAX_WEIGHT = 1e12
 
-decode_listed = msgspec.json.Decoder(ListedServer).decode
+decode_listed = msgspec.json.Decoder(ServerListEntry).decode
 
 
 class EntryId(msgspec.Struct):
@@ -88,7 +88,7 @@
     return ""
 
 
-def decode_entry(raw: msgspec.Raw) -> ListedServer:
+def decode_entry(raw: msgspec.Raw) -> ServerListEntry:
     """Decodes and validates a list entry; raises one of DECODE_ERRORS."""
     entry = decode_listed(raw)
     if not entry.id:
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -22,8 +22,8 @@
 from .config_file import (
     DECODE_ERRORS,
     BalancerConfig,
-    ListedServer,
     ServerList,
+    ServerListEntry,
     StartError,
     StartupConfig,
     decode_entry,
@@ -140,7 +140,7 @@
         self.server_index: dict[str, int] = {}
         self.servers: list[KnownServer] = []
         # Listed servers that the policy has not been told of yet.
-        self.pending_updates: dict[int, tuple[ListedServer | None, interface.ListKind]] = {}
+        self.pending_updates: dict[int, tuple[ServerListEntry | None, interface.ListKind]] = {}
         self.active_servers: dict[int, KnownServer] = {}  # with sessions or with delays yet to be reported
         self.sessions: dict[int, Client] = {}
         self.open_identifiers: set[bytes] = set()  # the ids that the clients gave these sessions
@@ -508,7 +508,7 @@
 
     def apply_list(self, server_list: ServerList, kind: interface.ListKind) -> None:
         # The list's entries for new and changed servers; None: not to be logged.
-        rows: dict[int, ListedServer | None] = {}
+        rows: dict[int, ServerListEntry | None] = {}
         listed_entries: dict[int, interface.ServerEntry] = {}
         for raw in server_list.servers:
             index, entry, row = self.parse_entry(raw)
@@ -530,7 +530,7 @@
         else:
             self.queue_changes(rows, kind)
 
-    def queue_changes(self, rows: dict[int, ListedServer | None], kind: interface.ListKind) -> None:
+    def queue_changes(self, rows: dict[int, ServerListEntry | None], kind: interface.ListKind) -> None:
         """Passes servers that must get no new sessions to the policy at once, the others in batches.
 
         A long list handled in one iteration would hold up all other work.
@@ -569,7 +569,9 @@
         """The size of the whole list, so that budgets per server are not computed from a part of it."""
         return sum(known.entry.state is not interface.ServerState.GONE for known in self.servers)
 
-    def parse_entry(self, raw: msgspec.Raw) -> tuple[int, interface.ServerEntry | None, ListedServer | None]:
+    def parse_entry(
+        self, raw: msgspec.Raw
+    ) -> tuple[int, interface.ServerEntry | None, ServerListEntry | None]:
         """Returns the server's index, its entry and the raw row; the entry is None if it is unusable."""
         try:
             row = decode_entry(raw)
@@ -596,7 +598,7 @@
         zone, machine = self.zones.get(row.zone, -1), self.kinds.get(row.kind, -1)
         return index, interface.ServerEntry(index, zone, row.cell, state, started, weight, machine), row
 
-    def log_listed(self, rows: dict[int, ListedServer | None], kind: interface.ListKind) -> None:
+    def log_listed(self, rows: dict[int, ServerListEntry | None], kind: interface.ListKind) -> None:
         for index, row in rows.items():
             if row is not None:
                 more = {
