--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -79,7 +79,7 @@
 
 
 class Play:
-    """One balancer; its first requests follow the script, all others are answered after `took`.
+    """One balancer; its first requests follow the script, all others are answered after `answer_duration`.
 
     `available_since`: when the new list became available: the last scripted request was sent or, if that
     was a watch, when it failed. `due`: when the balancer must have the list.
@@ -87,7 +87,7 @@
 
     def __init__(
         self, script: list[tuple[str, float]], discovery: str, ask_within_us: int, drain_grace_us: int,
-        replicas: int, seed: int, took: int,
+        replicas: int, seed: int, answer_duration: int,
     ) -> None:  # fmt: skip
         self.world = VirtualNetwork(DELAY_NS)
         self.script = script
@@ -112,7 +112,7 @@
                 StartupConfig("", config, BALANCER, LIST, seed), Machine(self.world, BALANCER[0])
             )
         patience = self.service.list_client.request_timeout(0)
-        self.took = min(took, patience * 4 // 5)
+        self.answer_duration = min(answer_duration, patience * 4 // 5)
         self.service.on_list = self.listed
         self.add_loop(self.service.loop)
 
@@ -164,7 +164,7 @@
 
     def on_request(self, call: ListServerEnd, wait: int) -> None:
         if self.failure is None:
-            self.server_loop.after(self.took, lambda: call.answer(100 + self.request_count))
+            self.server_loop.after(self.answer_duration, lambda: call.answer(100 + self.request_count))
         else:
             kind, fraction = self.failure
             # A watch works for this long, unless it is still queued at the service.
@@ -204,13 +204,15 @@
     @property
     def due(self) -> int:
         """A silent watch is noticed a second after its wait; an answer may take another second."""
-        slow = max(self.took - QUICK_ANSWER, 0)
-        most = DELIVERY_LIMIT - SLOWEST_ANSWER
+        slow_answer = max(self.answer_duration - QUICK_ANSWER, 0)
+        max_delay = DELIVERY_LIMIT - SLOWEST_ANSWER
         if not self.service.deployment.list_on_request:
             # Pushed lists count as delivered while no request is made: each step may take part of the grace.
             grace = self.service.deployment.drain_grace
-            most = min(most, CONNECT_WITHIN + grace // 2 + grace // 4 + MARGIN)
-        return self.available_since + max(most + self.took, self.silence and self.silence + slow)
+            max_delay = min(max_delay, CONNECT_WITHIN + grace // 2 + grace // 4 + MARGIN)
+        return self.available_since + max(
+            max_delay + self.answer_duration, self.silence and self.silence + slow_answer
+        )
 
     def run(self, is_patient: bool = False) -> "Play":
         """Runs until the balancer has the list, or to a second past the limit unless `is_patient`."""
@@ -224,7 +226,7 @@
 
 def longest_delay(scripts: list[list[tuple[str, float]]], seeds: int, **site: object) -> str:
     plays = [
-        Play(script, **site, seed=seed, took=0).run(is_patient=True)
+        Play(script, **site, seed=seed, answer_duration=0).run(is_patient=True)
         for seed in range(seeds)
         for script in scripts
     ]
--- a/tests/test_list_within.py
+++ b/tests/test_list_within.py
@@ -17,17 +17,17 @@
     "drain_grace_us": st.one_of(st.sampled_from([0, 1_500_000, 120_000_000]), st.integers(0, 60_000_000)),
     "replicas": st.integers(1, 420),
     "seed": st.integers(0, 1 << 30),
-    "took": st.integers(0, SLOWEST_ANSWER),
+    "answer_duration": st.integers(0, SLOWEST_ANSWER),
 }
 SCRIPTS = st.lists(
     st.tuples(st.sampled_from(["served", "served", "served", *FAILURES]), st.floats(0, 1)), max_size=6
 )
-SITE = {"discovery": "on_request", "drain_grace_us": 2_000_000, "seed": 1, "took": SLOWEST_ANSWER}
+SITE = {"discovery": "on_request", "drain_grace_us": 2_000_000, "seed": 1, "answer_duration": SLOWEST_ANSWER}
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(script=SCRIPTS, site=st.fixed_dictionaries(SITES))
-def test_the_list_comes_in_time_after_any_row_of_failures(script: list, site: dict) -> None:
+def test_the_list_arrives_in_time_after_any_series_of_failures(script: list, site: dict) -> None:
     play = Play(script, **site).run()
     assert play.received_at and play.received_at <= play.due, (
         play.world.now() - play.available_since,
@@ -58,12 +58,12 @@
             )
 
 
-def test_those_whose_answers_never_end_ask_again_out_of_step() -> None:
+def test_balancers_whose_answers_never_end_ask_again_out_of_step() -> None:
     """The limit must not be met by all balancers calling at once."""
-    site = SITE | {"ask_within_us": 10_000_000, "replicas": 200, "took": 0}
+    site = SITE | {"ask_within_us": 10_000_000, "replicas": 200, "answer_duration": 0}
     plays = [Play([("served", 0), ("never ends", 0.7)], **site | {"seed": seed}).run() for seed in range(20)]
-    took = sorted(play.received_at - play.available_since for play in plays)
-    assert took[-1] - took[0] > SECOND and took[10] - took[5] > SECOND // 10, took
+    delays = sorted(play.received_at - play.available_since for play in plays)
+    assert delays[-1] - delays[0] > SECOND and delays[10] - delays[5] > SECOND // 10, delays
 
 
 @pytest.mark.parametrize("ask_within", [10, 120])
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -80,11 +80,11 @@
         stage.list_service.update_servers(*stage.known_servers)
         stage.start("b0")
         stage.wait_until_started("b0")
-        crowd = stage.add_clients(1, RATE, 3 * SECOND, ("chat", "once"), DEADLINE)
+        clients = stage.add_clients(1, RATE, 3 * SECOND, ("chat", "once"), DEADLINE)
         assert stage.run_until(lambda: bool(stage.record.of_kind("list answer")), 6 * SECOND)
         trouble(stage)
         stage.run(4 * SECOND)
-        crowd.is_stopped = True
+        clients.is_stopped = True
         stage.run(4 * SECOND)
         entries, end, log = stage.record.entries, stage.now(), stage.log("b0")
     assert len(stage.record.of_kind("client line")) > RATE * 3
@@ -92,8 +92,8 @@
     assert not checks.check_effects(entries, EFFECTS)
     assert not checks.check_drains(entries, DRAIN_GRACE)
     assert not [one for one in log if one["event"] in ("fault", "text", "unanswered")]
-    told = [one["version"] for one in stage.record.of_kind("list answer")]
-    assert stage.list_service.version in told  # all changes were delivered
+    versions = [one["version"] for one in stage.record.of_kind("list answer")]
+    assert stage.list_service.version in versions  # all changes were delivered
 
 
 SMALL_FLEET = 200  # servers
@@ -143,9 +143,9 @@
 def lines_of_placements(service: Service) -> int:
     """Lines run by ten placements, none of them the first in an overload window of the cold servers."""
     now = service.loop.now()
-    came = [interface.SessionArrived(10_000 + at, 0, DEADLINE, None, None, False) for at in range(11)]
-    service.balancer.handle(now, came[0])
-    return lines_run(lambda: [service.balancer.handle(now, one) for one in came[1:]])
+    arrivals = [interface.SessionArrived(10_000 + at, 0, DEADLINE, None, None, False) for at in range(11)]
+    service.balancer.handle(now, arrivals[0])
+    return lines_run(lambda: [service.balancer.handle(now, one) for one in arrivals[1:]])
 
 
 def listing(version: int, states: dict[int, str], full: bool = False) -> ServerList:
@@ -172,18 +172,18 @@
 def test_a_long_list_is_delivered_in_batches_and_drains_at_once() -> None:
     service = service_with_sessions(SERVERS)
     balancer = service.balancer
-    handle, told = balancer.handle, []
+    handle, deliveries = balancer.handle, []
 
     def recording(now: int, event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.ServerListUpdated):
-            told.append([(one.server, one.state) for one in event.entries])
+            deliveries.append([(one.server, one.state) for one in event.entries])
         return handle(now, event)
 
     balancer.handle = recording
     drained = range(1, SERVERS, 2)
     states = dict.fromkeys(range(SERVERS), "SERVING") | dict.fromkeys(drained, "DRAINING")
     service.on_list(listing(2, states, full=True))
-    assert [at for at, _ in told[0]] == list(drained)
+    assert [at for at, _ in deliveries[0]] == list(drained)
     assert balancer.most_listed == SERVERS
     assert {balancer.servers[at].state for at in drained} == {interface.ServerState.DRAINING}
     # Before the rest is delivered one of its servers drains too, and one leaves the list.
@@ -192,9 +192,9 @@
     del states[gone]
     service.on_list(listing(3, states, full=True))
     while service.pending_updates:
-        before = len(told)
+        before = len(deliveries)
         service.deliver_batch()
-        assert all(len(part) <= LIST_BATCH for part in told[before:])
+        assert all(len(part) <= LIST_BATCH for part in deliveries[before:])
     assert balancer.servers[late].state is interface.ServerState.DRAINING
     assert balancer.servers[gone].state is interface.ServerState.GONE
     ready = {one.index for one in balancer.candidates.ready}
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -119,7 +119,7 @@
 ) -> None:
     """The signal arrives during the imports, before a handler is installed."""
     config = {"name": "b", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
-    file = tmp_path / "told.json"
+    file = tmp_path / "config.json"
     file.write_text(json.dumps(config))
     code = WHILE_STARTING.format(signal_name)
     with subprocess.Popen(
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("text", ["[" * 200_000, '{"settings":' * 200_000, "{", "", "\xff", "null"])
 def test_a_file_that_cannot_be_read_gets_one_line(text: str, tmp_path: Path) -> None:
-    file = tmp_path / "told.json"
+    file = tmp_path / "config.json"
     file.write_text(text, encoding="latin-1")
     result = subprocess.run(
         [sys.executable, "-m", "thymedeck", "check", "--config", str(file)], capture_output=True, text=True
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -139,7 +139,7 @@
         self.loop_time_offset = self.loop.now() - system.time_ns() // 100_000  # from Unix to loop time
         self.server_index: dict[str, int] = {}
         self.servers: list[KnownServer] = []
-        # Listed servers that the policy has not been told of yet.
+        # Listed servers not yet passed to the policy.
         self.pending_updates: dict[int, tuple[ServerListEntry | None, interface.ListKind]] = {}
         self.active_servers: dict[int, KnownServer] = {}  # with sessions or with delays yet to be reported
         self.sessions: dict[int, Client] = {}
@@ -196,11 +196,11 @@
         """Carries out the policy's actions for an event; one that fails does not affect the others."""
         started_at = self.loop.now()
         actions = self.balancer.handle(started_at, event)
-        took = self.loop.now() - started_at
-        if took >= LONG_DECISION:
+        duration = self.loop.now() - started_at
+        if duration >= LONG_DECISION:
             candidates = self.balancer.candidates
             counts = {"servers": len(candidates.ready), "active": len(candidates.active)}
-            self.log("slow_decision", about=type(event).__name__, took=took, **counts)
+            self.log("slow_decision", about=type(event).__name__, took=duration, **counts)
         for action in actions:
             self.loop.run_guarded(self.perform, action)
 
@@ -375,14 +375,14 @@
         )
         client.answer(b"ERR not up\r\n", Ending.ANSWERED)
 
-    def on_dial_established(self, dial: DialConnection, took: int) -> None:
+    def on_dial_established(self, dial: DialConnection, duration: int) -> None:
         client = dial.client
         client.on_established(dial)
         known = self.active_servers[dial.server] = self.servers[dial.server]
         known.sessions[client] = None
         if client.restored_server < 0:
-            self.log("up", sess=client.session_id, server=dial.server, took=took)
-            self.handle_event(interface.SessionEstablished(client.session_id, dial.server, took))
+            self.log("up", sess=client.session_id, server=dial.server, took=duration)
+            self.handle_event(interface.SessionEstablished(client.session_id, dial.server, duration))
 
     def on_dial_ended(self, dial: DialConnection, ending: Ending) -> None:
         client = dial.client
