--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,8 +9,8 @@
 
 from tests.helpers import DEPLOYMENT, list_only_service
 from thymedeck import interface
+from thymedeck.net.config_file import ServerList, ServerListEntry
 from thymedeck.net.service import Service
-from thymedeck.net.told import Listing, Row
 from thymedeck.policy import Balancer
 
 REPLICAS = 400
@@ -94,7 +94,7 @@
     for seed in range(40):
         service = object.__new__(Service)
         service.loop, service.uniform = RecordingLoop(), random.Random(seed).uniform
-        service.move_within(10_000, [OpenSession(), OpenSession()])
+        service.move_spread(10_000, [OpenSession(), OpenSession()])
         earliest, latest = service.loop.delays
         assert 0 <= earliest <= 5_000 <= latest <= 10_000
         first_delays.append(earliest)
@@ -131,9 +131,9 @@
     """Otherwise its old address would be dialled, and the cold server would be treated as warm."""
     service = list_only_service()
     for address, started_ms in (("127.0.0.1:1", 0), ("127.0.0.2:2", 700), ("nowhere", 900)):
-        row = Row(id="s", addr=address, zone="z", kind="big", started_ms=started_ms)
+        row = ServerListEntry(id="s", addr=address, zone="z", kind="big", started_ms=started_ms)
         raw_row = msgspec.Raw(msgspec.json.encode(row))
-        service.take_list(Listing(version=1, full=True, servers=[raw_row]), interface.ListKind.WHOLE)
+        service.apply_list(ServerList(version=1, full=True, servers=[raw_row]), interface.ListKind.WHOLE)
     assert [known.address for known in service.servers] == [("127.0.0.2", 2)]
     assert [one.entries[0].started for one in service.policy_events] == [0, 7_005, 9_005]
     assert {one.entries[0].kind for one in service.policy_events} == {0}
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -9,10 +9,10 @@
 
 from tests.helpers import SETTINGS
 from thymedeck.lab.virtual_network import BUFFER_BYTES, Machine, MemorySocket, VirtualNetwork
+from thymedeck.net.config_file import BalancerConfig, StartupConfig
 from thymedeck.net.connection import Connection
-from thymedeck.net.loop import READ, Loop
+from thymedeck.net.loop import READ, EventLoop
 from thymedeck.net.service import Service
-from thymedeck.net.told import Start, Told
 
 SECOND = 1_000_000_000
 BALANCER, SERVER = ("10.0.0.1", 8000), ("10.1.0.1", 8000)
@@ -21,37 +21,37 @@
 class EchoConnection(Connection):
     """The server end of a session: accepts it, then echoes every line."""
 
-    def on_bytes(self, count: int) -> None:
-        data = self.inbound.take()
-        self.say(b"UP receipt\r\n" if data.startswith(b"OPEN ") else data)
+    def on_data(self, count: int) -> None:
+        data = self.inbound.read_all()
+        self.write(b"UP receipt\r\n" if data.startswith(b"OPEN ") else data)
 
 
 class ClientConnection(Connection):
     """The client end of a session; keeps all that it receives."""
 
-    def __init__(self, loop: Loop, sock: MemorySocket, session_id: bytes) -> None:
+    def __init__(self, loop: EventLoop, sock: MemorySocket, session_id: bytes) -> None:
         super().__init__(loop, sock)
         self.received = b""
-        self.outbound.put(b"OPEN %s key c=chat,d=2000\r\n" % session_id)
+        self.outbound.append(b"OPEN %s key c=chat,d=2000\r\n" % session_id)
         self.connect(BALANCER)
-        self.await_more()
+        self.update_events()
 
-    def on_bytes(self, count: int) -> None:
-        self.received += self.inbound.take()
+    def on_data(self, count: int) -> None:
+        self.received += self.inbound.read_all()
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         self.received += b"<broken>"
         self.close()
 
 
 class EchoServer:
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
         self.sock = loop.system.listen(SERVER, 16)
         loop.watch(self.sock, 0, READ, self)
 
-    def ready(self, mask: int) -> None:
-        EchoConnection(self.loop, self.sock.accept()[0]).await_more()
+    def on_ready(self, mask: int) -> None:
+        EchoConnection(self.loop, self.sock.accept()[0]).update_events()
 
 
 class Simulation:
@@ -65,23 +65,23 @@
             "limits": {"sockets": 256},
         }  # fmt: skip
         self.machine = Machine(self.network, BALANCER[0])
-        start = Start(
+        start = StartupConfig(
             "",
-            msgspec.json.decode(msgspec.json.encode(config), type=Told),
+            msgspec.json.decode(msgspec.json.encode(config), type=BalancerConfig),
             BALANCER,
             ("10.2.0.1", 8500),
             seed,
         )
         self.service = Service(start, self.machine)
-        self.service.open()
+        self.service.start_accepting()
         EchoServer(self.add_machine("10.1.0.1"))
         self.client_loop = self.add_machine("10.9.0.1")
         self.add_loop(self.service.loop)
 
-    def add_machine(self, host: str) -> Loop:
-        return self.add_loop(Loop(self.handle_fault, 4096, Machine(self.network, host)))
+    def add_machine(self, host: str) -> EventLoop:
+        return self.add_loop(EventLoop(self.handle_fault, 4096, Machine(self.network, host)))
 
-    def add_loop(self, loop: Loop) -> Loop:
+    def add_loop(self, loop: EventLoop) -> EventLoop:
         loop.running = True
         self.network.loops.append(loop)
         return loop
@@ -102,7 +102,7 @@
     client = simulation.connect_client(b"a1")
     simulation.network.run(SECOND)
     assert client.received == b"UP receipt\r\n"
-    client.say(b"hello\r\n")
+    client.write(b"hello\r\n")
     simulation.network.run(SECOND)
     assert client.received == b"UP receipt\r\nhello\r\n"
     (up,) = simulation.log_entries("up")
@@ -114,7 +114,7 @@
     client = simulation.connect_client(b"a1")
     simulation.network.run(SECOND)
     simulation.network.isolated_hosts.add(SERVER[0])
-    client.say(b"hello\r\n")
+    client.write(b"hello\r\n")
     simulation.network.run(2 * SECOND)
     assert client.received == b"UP receipt\r\n"
     simulation.network.run(2 * SECOND)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from thymedeck.net.notes import Beat, Figures
+from thymedeck.net.load_reports import DelaySchedule, SessionLoads
 
 from .helpers import PolicyScenario, SocketScenario
 
@@ -23,11 +23,11 @@
 
 def test_load_and_delay_reports_are_distinguished() -> None:
     """A line of the file: time, connection, and whether its report is a load or a message delay."""
-    beat, figures_by_connection = Beat(), {}
+    schedule, loads_by_connection = DelaySchedule(), {}
     for line in (SCENARIOS / "told" / "notes_on_the_beat.txt").read_text().splitlines():
         if words := line.split("#")[0].split():
-            now, figures = int(words[0]), figures_by_connection.setdefault(words[1], Figures())
-            kind = "delay" if beat.is_on(now, figures) else "load"
+            now, loads = int(words[0]), loads_by_connection.setdefault(words[1], SessionLoads())
+            kind = "delay" if schedule.is_delay_report(now, loads) else "load"
             if kind == "load":
-                figures.take(now, float(now))
+                loads.record(now, float(now))
             assert kind == words[2], line
--- a/thymedeck/configuration/settings.py
+++ b/thymedeck/configuration/settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..net.told import server_address
+from ..net.config_file import server_address
 from ..peers.settings import (
     TIME_UNITS,
     SettingsFileError,
--- a/thymedeck/lab/scale/mixed.py
+++ b/thymedeck/lab/scale/mixed.py
@@ -10,9 +10,9 @@
 import random
 import time
 
-from ...net.loop import READ, Loop
+from ...net.config_file import server_address
+from ...net.loop import READ, EventLoop
 from ...net.system import System
-from ...net.told import server_address
 from ...peers.events import Action, CountsUpdated, MessageReceived, Send, Tick
 from ...peers.membership import TICK, Membership, Peer
 from ...peers.messages import MAX_DATAGRAM_BYTES, DatagramCodec, DatagramError
@@ -30,7 +30,7 @@
     """One peer with its own socket, on a loop shared by all of them."""
 
     def __init__(
-        self, loop: Loop, name: str, address: tuple[str, int], rng: random.Random, fleet_size: int
+        self, loop: EventLoop, name: str, address: tuple[str, int], rng: random.Random, fleet_size: int
     ) -> None:
         self.loop = loop
         self.sock = loop.system.datagram(address)
@@ -61,7 +61,7 @@
                 with contextlib.suppress(OSError):
                     self.sock.sendto(self.codec.seal(action.message), server_address(action.address))
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         while True:
             try:
                 data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
@@ -97,7 +97,7 @@
     The parameters and the keys of the result are columns of a CSV file.
     """
     rng = random.Random(seed)
-    loop = Loop(raise_fault, 1 << 20, System())
+    loop = EventLoop(raise_fault, 1 << 20, System())
     host = f"127.{os.getpid() % 250 + 1}.{rng.randrange(256)}.{rng.randrange(1, 255)}"
     simulated = [
         SimulatedPeer(loop, f"h{index}", (host, 20_000 + index), rng, balancers)
@@ -168,11 +168,11 @@
     return 0
 
 
-def run_loop(loop: Loop, seconds: float) -> None:
+def run_loop(loop: EventLoop, seconds: float) -> None:
     end = loop.now() + int(seconds * SECOND)
     timer = loop.after(int(seconds * SECOND), lambda: None)
     while loop.now() < end:
-        loop.turn()
+        loop.run_once()
     timer.cancel()
 
 
--- a/thymedeck/lab/standins.py
+++ b/thymedeck/lab/standins.py
@@ -13,8 +13,8 @@
 from msgspec import Struct, structs
 
 from ..net.connection import Connection
-from ..net.loop import READ, Loop
-from ..net.ring import Ring
+from ..net.loop import READ, EventLoop
+from ..net.ring import RingBuffer
 from .records import Record
 
 SECOND = 10_000
@@ -25,7 +25,7 @@
 class ListeningSocket:
     """A listening socket; calls `on_accept` with each accepted socket and its remote address."""
 
-    def __init__(self, loop: Loop, address: tuple[str, int], on_accept: Callable) -> None:
+    def __init__(self, loop: EventLoop, address: tuple[str, int], on_accept: Callable) -> None:
         self.loop = loop
         self.on_accept = on_accept
         self.sock = loop.system.listen(address, BACKLOG)
@@ -34,7 +34,7 @@
         loop.watch(self.sock, 0, READ, self)
         self.is_open = True
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         while self.is_open:
             try:
                 sock, source = self.sock.accept()
@@ -52,24 +52,24 @@
 class LineConnection(Connection):
     """A connection that reads lines ending in CR LF."""
 
-    def __init__(self, loop: Loop, sock: object) -> None:
+    def __init__(self, loop: EventLoop, sock: object) -> None:
         super().__init__(loop, sock)
         self.partial_line = b""
-        self.await_more()
+        self.update_events()
 
-    def on_bytes(self, count: int) -> None:
-        *lines, self.partial_line = (self.partial_line + self.inbound.take()).split(b"\r\n")
+    def on_data(self, count: int) -> None:
+        *lines, self.partial_line = (self.partial_line + self.inbound.read_all()).split(b"\r\n")
         for line in lines:
-            if self.open:
+            if self.is_open:
                 self.on_line(line)
 
     def on_line(self, line: bytes) -> None:
         raise NotImplementedError
 
-    def on_end(self) -> None:
+    def on_eof(self) -> None:
         self.close()
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         self.close()
 
 
@@ -101,22 +101,22 @@
             self.service.on_request(self, line.split(b" ")[1].decode())
 
     def reply(self, status: int, body: bytes) -> None:
-        if self.open:
+        if self.is_open:
             reason = {200: b"OK", 503: b"Service Unavailable"}[status]
             response = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s" % (status, reason, len(body), body)
-            if len(response) > self.outbound.room:
+            if len(response) > self.outbound.free_space:
                 # A response that does not fit the ring buffer would be dropped as a whole.
-                queued = self.outbound.take()
-                self.outbound = Ring(len(queued) + len(response))
-                self.outbound.put(queued)
-            self.say(response)
+                queued = self.outbound.read_all()
+                self.outbound = RingBuffer(len(queued) + len(response))
+                self.outbound.append(queued)
+            self.write(response)
 
 
 class ListService:
     """Serves requests one after another at a limited rate; answers 503 to those that would wait too long."""
 
     def __init__(
-        self, loop: Loop, record: Record, address_for: Callable[[str, str], str], capacity: float = 0.0
+        self, loop: EventLoop, record: Record, address_for: Callable[[str, str], str], capacity: float = 0.0
     ) -> None:
         """`address_for(server, balancer)` is the address at which that balancer reaches the server.
 
@@ -204,7 +204,7 @@
         self.answer(request, self.version)
 
     def answer(self, request: ListRequest, index: int) -> None:
-        if self.is_down or not request.open:
+        if self.is_down or not request.is_open:
             self.record.note("list answer", balancer=request.balancer, status=0, version=-1)
             request.close(reset=True)
             return
@@ -241,13 +241,13 @@
             self.session_id = line.split(b" ")[1].decode()
             self.server.on_open_line(self, line.decode("latin-1"))
         elif self.is_up and line == b"QUIT":
-            self.say(b"BYE\r\n")
-            self.end_sending()
+            self.write(b"BYE\r\n")
+            self.shutdown_write()
         elif self.is_up and not self.server.is_silent:
-            self.say(line + b"\r\n")
+            self.write(line + b"\r\n")
 
     def close(self, reset: bool = False) -> None:
-        if self.open:
+        if self.is_open:
             super().close(reset)
             self.server.on_closed(self)
 
@@ -259,7 +259,7 @@
     """
 
     def __init__(
-        self, loop: Loop, record: Record, server_id: str, limit: int = 1 << 30, work: int = 50
+        self, loop: EventLoop, record: Record, server_id: str, limit: int = 1 << 30, work: int = 50
     ) -> None:
         """`limit`: sessions at a time; `work`: time that one set-up takes."""
         self.loop = loop
@@ -342,8 +342,8 @@
             connection.close()
         elif self.is_draining or sum(other.is_up for other in self.connections) >= self.limit:
             self.record_answer(connection, "BUSY")
-            connection.say(b"BUSY\r\n")
-            connection.end_sending()
+            connection.write(b"BUSY\r\n")
+            connection.shutdown_write()
         else:
             self.busy_until = max(self.busy_until, now) + self.work
             self.loop.after(self.busy_until - now, lambda: self.accept_session(connection))
@@ -352,10 +352,10 @@
         self.record.note("server answer", server=self.server_id, id=connection.session_id, answer=answer)
 
     def accept_session(self, connection: ServerConnection) -> None:
-        if connection.open and not self.is_silent:
+        if connection.is_open and not self.is_silent:
             connection.is_up = True
             self.record_answer(connection, "UP")
-            connection.say(
+            connection.write(
                 b"UP %s-%s\r\nLOAD 10000\r\n" % (self.server_id.encode(), connection.session_id.encode())
             )
 
@@ -367,7 +367,7 @@
     """Clients that arrive at random, stay for a while, and retry when they are moved, refused or cut off."""
 
     def __init__(
-        self, loop: Loop, record: Record, balancers: Callable[[], list[tuple[str, tuple[str, int]]]],
+        self, loop: EventLoop, record: Record, balancers: Callable[[], list[tuple[str, tuple[str, int]]]],
         seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int,
     ) -> None:  # fmt: skip
         """`balancers` gives the names and addresses to which a front end would currently send clients.
@@ -425,14 +425,14 @@
     def open_session(self, address: tuple[str, int], is_retry: bool) -> None:
         group = self.group
         options = f"c={self.kind},d={group.deadline // 10}" + (",again=1" if is_retry else "")
-        self.outbound.put(f"OPEN {self.session_id} {group.random_bits(64):016x} {options}\r\n".encode())
+        self.outbound.append(f"OPEN {self.session_id} {group.random_bits(64):016x} {options}\r\n".encode())
         self.timer = self.loop.after(group.deadline + 2 * SECOND, self.give_up)
         if self.connect(address):
-            self.on_broken()
+            self.on_connection_lost()
         else:
-            self.await_more()
+            self.update_events()
 
-    def on_emptied(self) -> None:
+    def on_output_flushed(self) -> None:
         if not self.has_sent_open:
             self.has_sent_open = True
             self.record_event("client line", kind=self.kind, deadline=self.group.deadline)
@@ -461,25 +461,25 @@
             self.close()
 
     def send_line(self) -> None:
-        if self.open and self.is_established:
-            self.say(b"x\r\n")
+        if self.is_open and self.is_established:
+            self.write(b"x\r\n")
             self.loop.after(LINE_INTERVAL, self.send_line)
 
     def leave(self) -> None:
-        if self.open:
+        if self.is_open:
             self.is_established = False
             self.record_event("client leaves")
             self.close()
 
     def give_up(self) -> None:
-        if self.open:
+        if self.is_open:
             self.record_event("client gives up")
             self.close()
 
-    def on_end(self) -> None:
-        self.on_broken()
+    def on_eof(self) -> None:
+        self.on_connection_lost()
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         if self.is_established:
             self.group.retry(self, int(self.group.uniform(0.05, 0.5) * SECOND))
         elif not self.has_answer and not self.has_sent_open:
--- a/thymedeck/lab/testbed.py
+++ b/thymedeck/lab/testbed.py
@@ -19,11 +19,11 @@
 import msgspec
 import orjson
 
+from ..net.config_file import BalancerConfig, StartupConfig, server_address
 from ..net.connection import Connection
-from ..net.loop import READ, Loop
+from ..net.loop import READ, EventLoop
 from ..net.service import Service
 from ..net.system import System
-from ..net.told import Start, Told, server_address
 from ..peers.events import Event, MessageReceived, Send, Tick
 from ..peers.membership import TICK, Membership, Peer
 from ..peers.messages import (
@@ -53,7 +53,7 @@
 class BaseTestbed:
     """The common part of both testbeds. `settings` is the deployment object that balancers are given."""
 
-    def __init__(self, loop: Loop, seed: int, settings: dict, peers_options: dict | None) -> None:
+    def __init__(self, loop: EventLoop, seed: int, settings: dict, peers_options: dict | None) -> None:
         self.loop = loop
         self.started_at = loop.now()
         self.record = Record(lambda: loop.now() - self.started_at)
@@ -146,7 +146,7 @@
         self.network = VirtualNetwork(delay_ns=delay * 100_000)
         self.rng = random.Random(seed)
         self.stand_in_machine = Machine(self.network, "10.2.0.1")  # runs all stand-ins, on several hosts
-        loop = Loop(self.handle_fault, 1 << 24, self.stand_in_machine)
+        loop = EventLoop(self.handle_fault, 1 << 24, self.stand_in_machine)
         loop.running = True
         self.network.loops.append(loop)
         super().__init__(loop, seed, settings, peers_options)
@@ -197,11 +197,11 @@
     def start(self, name: str) -> None:
         machine = self.machines[name] = Machine(self.network, self.host_of(name))
         config = orjson.dumps(self.balancer_config(name, self.rng.getrandbits(60)))
-        configuration = msgspec.json.decode(config, type=Told)
+        configuration = msgspec.json.decode(config, type=BalancerConfig)
         listen, discovery = self.listen_address(name), self.list_address(name)
-        start = Start("none", configuration, listen, discovery, int(configuration.seed, 16))
+        start = StartupConfig("none", configuration, listen, discovery, int(configuration.seed, 16))
         service = self.services[name] = Service(start, machine)
-        service.open()
+        service.start_accepting()
         service.loop.running = True
         self.network.loops.append(service.loop)
         if self.peers_options is not None:
@@ -265,10 +265,10 @@
         self.queue: deque[tuple[int, bytes]] = deque()  # (when due, data); b"" is the end of the stream
         self.is_forward_scheduled = False
 
-    def on_bytes(self, count: int) -> None:
-        self.enqueue(self.inbound.take())
+    def on_data(self, count: int) -> None:
+        self.enqueue(self.inbound.read_all())
 
-    def on_end(self) -> None:
+    def on_eof(self) -> None:
         self.enqueue(b"")
 
     def enqueue(self, data: bytes) -> None:
@@ -281,7 +281,7 @@
         """Writes what is due to the other end; closes both once both directions have ended."""
         self.is_forward_scheduled = False
         testbed, other_end = self.relay.testbed, self.other_end
-        while self.queue and other_end.open:
+        while self.queue and other_end.is_open:
             due, data = self.queue[0]
             wait = due - testbed.now()
             if wait <= 0 and testbed.faults.is_cut(testbed.now(), self.source, self.target):
@@ -290,7 +290,7 @@
                 self.is_forward_scheduled = True
                 self.loop.after(wait, self.forward)
                 return
-            if data and not other_end.outbound.put(data):
+            if data and not other_end.outbound.append(data):
                 self.is_forward_scheduled = True
                 self.loop.after(MS, self.forward)
                 return
@@ -298,33 +298,33 @@
             if data:
                 other_end.flush()
             else:
-                other_end.end_sending()
+                other_end.shutdown_write()
         if (
-            self.heard_end
-            and other_end.heard_end
+            self.received_eof
+            and other_end.received_eof
             and not self.queue
             and not other_end.queue
-            and not other_end.outbound.held
+            and not other_end.outbound.used
         ):
             self.close()
             other_end.close()
 
-    def on_emptied(self) -> None:
+    def on_output_flushed(self) -> None:
         if (
             self.other_end is not None
-            and self.other_end.heard_end
+            and self.other_end.received_eof
             and not self.other_end.is_forward_scheduled
         ):
             self.other_end.forward()
 
-    def on_broken(self) -> None:
+    def on_connection_lost(self) -> None:
         """Resets the other end; while the way to it is cut, the reset is delayed."""
         self.close()
         other_end = self.other_end
-        if other_end is not None and other_end.open:
+        if other_end is not None and other_end.is_open:
             testbed = self.relay.testbed
             if testbed.faults.is_cut(testbed.now(), self.source, self.target):
-                self.loop.after(50 * MS, self.on_broken)
+                self.loop.after(50 * MS, self.on_connection_lost)
             else:
                 other_end.close(reset=True)
 
@@ -346,11 +346,11 @@
         far = Pipe(self, self.testbed.loop.system.stream(), self.target, self.source)
         near.other_end, far.other_end = far, near
         if far.connect(self.destination):
-            far.on_broken()
+            far.on_connection_lost()
             return
         self.testbed.source_names[far.sock.getsockname()] = self.source
-        far.await_more()
-        near.await_more()
+        far.update_events()
+        near.update_events()
 
 
 class DatagramRelay:
@@ -364,7 +364,7 @@
         self.sock.setblocking(False)
         testbed.loop.watch(self.sock, 0, READ, self)
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         testbed = self.testbed
         while True:
             try:
@@ -393,7 +393,7 @@
 
     def __init__(self, seed: int, settings: dict, peers_options: dict | None = None) -> None:
         self.system = System()
-        super().__init__(Loop(self.handle_fault, 1 << 20, self.system), seed, settings, peers_options)
+        super().__init__(EventLoop(self.handle_fault, 1 << 20, self.system), seed, settings, peers_options)
         self.rng = random.Random(seed)
         self.temporary_directory = tempfile.TemporaryDirectory(prefix="thymedeck-lab-")
         self.directory = Path(self.temporary_directory.name)
@@ -571,7 +571,7 @@
         end = self.loop.now() + duration
         timer = self.loop.after(duration, lambda: None)
         while self.loop.now() < end:
-            self.loop.turn()
+            self.loop.run_once()
         timer.cancel()
         self.read_logs()
         if self.errors:
@@ -672,7 +672,7 @@
             Message(VERSION, kind, name or self.membership.name, *identity, token=peer.token, **fields),
         )
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         while True:
             try:
                 data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
--- a/thymedeck/lab/virtual_network.py
+++ b/thymedeck/lab/virtual_network.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from ..net.loop import READ, WRITE, Loop
+from ..net.loop import READ, WRITE, EventLoop
 from .faults import FaultInjector
 
 Address = tuple[str, int]
@@ -36,12 +36,12 @@
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.event_count = 0
         self.listening_sockets: dict[Address, MemorySocket] = {}
-        self.loops: list[Loop] = []
+        self.loops: list[EventLoop] = []
         self.isolated_hosts: set[str] = set()  # nothing is delivered from or to these
         self.datagram_sockets: dict[Address, MemoryDatagramSocket] = {}
         self.faults: FaultInjector | None = None  # between machines, by the names of their hosts
         self.host_names: dict[str, str] = {}  # party names by host
-        self.frozen_loops: set[Loop] = set()  # loops that do not run; their timers fire late
+        self.frozen_loops: set[EventLoop] = set()  # loops that do not run; their timers fire late
 
     def after(self, wait_ns: int, call: Callable[[], None]) -> None:
         self.event_count += 1
@@ -55,7 +55,7 @@
                 while loop.running and (
                     loop.selector.may_be_ready or self.next_timer_ns(loop) <= self.now_ns
                 ):
-                    loop.turn()
+                    loop.run_once()
             times = [self.next_timer_ns(loop) for loop in active if loop.running]
             if self.events:
                 times.append(self.events[0][0])
@@ -75,9 +75,9 @@
         return self.host_names.get(host, host)
 
     @staticmethod
-    def next_timer_ns(loop: Loop) -> int:
+    def next_timer_ns(loop: EventLoop) -> int:
         """When the loop's next timer is due, rounded down to the loop's tenths of a millisecond."""
-        while loop.timers and loop.timers[0][2].call is None:
+        while loop.timers and loop.timers[0][2].callback is None:
             heapq.heappop(loop.timers)
         return loop.timers[0][0] * 100_000 if loop.timers else 1 << 62
 
--- a/thymedeck/net/log.py
+++ b/thymedeck/net/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard output."""
+"""The event log: one JSON line per event on standard output."""
 
 import traceback
 from typing import Any
@@ -9,22 +9,24 @@
 
 
 class EventLog:
+    """Writes events; lines that cannot be written at once are dropped and counted."""
+
     def __init__(self, name: str, system: System) -> None:
         self.time_ns = system.time_ns
         self.name = name
         self.write = system.log()
         self.dropped = 0
 
-    def __call__(self, event: str, **more: Any) -> None:  # noqa: ANN401 (any value that JSON can hold)
-        line = {"time": round(self.time_ns() / 1e9, 4), "balancer": self.name, "event": event, **more}
+    def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401 (any value that JSON can hold)
+        line = {"time": round(self.time_ns() / 1e9, 4), "balancer": self.name, "event": event, **fields}
         if self.dropped:
             line["dropped"] = self.dropped
         try:
             self.write(orjson.dumps(line, default=str) + b"\n")
             self.dropped = 0
         except OSError:
-            # Guards against a reader of the log that has stopped: a line is dropped, the loop goes on.
+            # The reader of the log has stopped: the line is dropped rather than blocking the loop.
             self.dropped += 1
 
-    def fault(self, fault: BaseException) -> None:
-        self("fault", text="".join(traceback.format_exception(fault))[-3000:])
+    def log_exception(self, error: BaseException) -> None:
+        self("fault", text="".join(traceback.format_exception(error))[-3000:])
--- a/thymedeck/net/loop.py
+++ b/thymedeck/net/loop.py
@@ -1,4 +1,4 @@
-"""The one loop: the selectors module, a monotonic clock in tenths of a millisecond, a heap of timers."""
+"""The event loop: a selector and a heap of timers, with times in tenths of a millisecond."""
 
 import heapq
 import selectors
@@ -9,117 +9,125 @@
 from .system import System
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
-OWN_DESCRIPTORS = 10  # that the program holds beside connections
-LATE = 1_000  # this process stood still if a timer is so late
-RESERVE = 8  # the part of what it may hold that clients leave to dials and to the list
-KEPT = 2  # and what dials leave: for the call for the list, and for one at the door
+BASE_DESCRIPTORS = 10  # used by the process for other things than connections
+STALL_THRESHOLD = 1_000  # a timer that is this late shows that the process was stalled
+CLIENT_RESERVE_DIVISOR = 8  # clients leave this part of the descriptors to dials and the list request
+DIAL_RESERVE = 2  # descriptors that dials leave free: for the list request and for accepting one client
 
 
-class Ready(Protocol):
-    def ready(self, mask: int) -> None: ...
+class EventHandler(Protocol):
+    """Receives the events of a socket."""
 
+    def on_ready(self, mask: int) -> None: ...
 
-class Due:
-    """A timer that is out; `cancel` makes it do nothing."""
 
-    __slots__ = ("at", "call")
+class TimerHandle:
+    """A pending timer; `cancel` drops its callback."""
 
-    def __init__(self, at: int, call: Callable[[], None]) -> None:
-        self.at = at
-        self.call: Callable[[], None] | None = call
+    __slots__ = ("expires_at", "callback")
+
+    def __init__(self, expires_at: int, callback: Callable[[], None]) -> None:
+        self.expires_at = expires_at
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        self.call = None
+        self.callback = None
+
 
+class EventLoop:
+    """Dispatches socket events and timers in one thread, and counts the descriptors in use."""
 
-class Loop:
-    def __init__(self, on_fault: Callable[[BaseException], None], most: int, system: System) -> None:
+    def __init__(
+        self, on_exception: Callable[[BaseException], None], descriptor_limit: int, system: System
+    ) -> None:
         self.system = system
         self.monotonic_ns = system.monotonic_ns
-        self.most = self.free = 0  # descriptors for connections, and those of them not in use
-        self.limit(most)
+        self.max_connections = self.free_descriptors = (
+            0  # descriptors for connections, and those of them not in use
+        )
+        self.set_descriptor_limit(descriptor_limit)
         self.selector = system.selector()
-        self.timers: list[tuple[int, int, Due]] = []
-        self.count = 0
-        self.on_fault = on_fault
+        self.timers: list[tuple[int, int, TimerHandle]] = []
+        self.timer_count = 0
+        self.on_exception = on_exception
         self.running = False
-        self.looked_at = self.now()
-        self.longest_turn = 0  # from one look at what is ready to the next, since somebody set it to 0
-        self.behind = 0  # what is read now may have waited so long, as this process stood still
-        self.first: Ready | None = None  # has its turn before all others that are ready
+        self.polled_at = self.now()
+        self.longest_iteration = 0  # time between two polls; the reader resets it
+        self.stall_duration = 0  # data read now may have waited this long because the process was stalled
+        self.priority_handler: EventHandler | None = None  # dispatched before all others
 
-    def limit(self, most: int) -> None:
-        """How many descriptors the program may hold."""
-        self.free += most - OWN_DESCRIPTORS - self.most
-        self.most = most - OWN_DESCRIPTORS
-        self.reserve = most // RESERVE
+    def set_descriptor_limit(self, descriptor_limit: int) -> None:
+        """Sets how many descriptors the process may use."""
+        self.free_descriptors += descriptor_limit - BASE_DESCRIPTORS - self.max_connections
+        self.max_connections = descriptor_limit - BASE_DESCRIPTORS
+        self.client_reserve = descriptor_limit // CLIENT_RESERVE_DIVISOR
 
     def now(self) -> int:
         return self.monotonic_ns() // 100_000
 
-    def after(self, wait: int, call: Callable[[], None]) -> Due:
-        due = Due(self.now() + max(wait, 0), call)
-        self.count += 1
-        heapq.heappush(self.timers, (due.at, self.count, due))
-        return due
+    def after(self, wait: int, callback: Callable[[], None]) -> TimerHandle:
+        """Calls the callback once this time has passed."""
+        timer = TimerHandle(self.now() + max(wait, 0), callback)
+        self.timer_count += 1
+        heapq.heappush(self.timers, (timer.expires_at, self.timer_count, timer))
+        return timer
 
-    def waited(self) -> int:
-        """For how long at the most what is read now may have lain unread."""
-        return self.behind + self.now() - self.looked_at
+    def max_unread_time(self) -> int:
+        """Upper bound for the time that data read now has waited in the socket."""
+        return self.stall_duration + self.now() - self.polled_at
 
-    def watch(self, sock: socket.socket | int, before: int, mask: int, ready: Ready) -> None:
-        """Changes what is awaited of a socket from the mask before to this one; 0 is nothing."""
-        if mask == before:
+    def watch(self, sock: socket.socket | int, old_mask: int, mask: int, handler: EventHandler) -> None:
+        """Changes the events watched on a socket from `old_mask` to `mask`; 0: none."""
+        if mask == old_mask:
             return
-        if not before:
-            self.selector.register(sock, mask, ready)
+        if not old_mask:
+            self.selector.register(sock, mask, handler)
         elif not mask:
             self.selector.unregister(sock)
         else:
-            self.selector.modify(sock, mask, ready)
+            self.selector.modify(sock, mask, handler)
 
     def run(self) -> None:
         self.running = True
         while self.running:
-            self.turn()
+            self.run_once()
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         timers = self.timers
-        while timers and timers[0][2].call is None:
+        while timers and timers[0][2].callback is None:
             heapq.heappop(timers)
-        # A timer is never early: what is left of its tenth is waited for too.
+        # Rounded up, so that a timer is never early.
         wait = max(timers[0][0] + 1 - self.now(), 0) / 10_000 if timers else None
-        self.look(wait)
-        if timers and self.now() - timers[0][0] > LATE:
-            # Guards against what waits to be read being taken for missing: this process stood still, in its
-            # wait or in the middle of its turn.
-            self.look(0)
+        self.poll(wait)
+        if timers and self.now() - timers[0][0] > STALL_THRESHOLD:
+            # The process was stalled, and what is late may have arrived meanwhile: it is read before the
+            # timers run.
+            self.poll(0)
         now = self.now()
         while timers and timers[0][0] <= now:
-            call = heapq.heappop(timers)[2].call
-            if call is not None:
-                self.guard(call)
+            callback = heapq.heappop(timers)[2].callback
+            if callback is not None:
+                self.run_guarded(callback)
 
-    def look(self, wait: float | None) -> None:
-        self.longest_turn = max(self.longest_turn, self.now() - self.looked_at)
-        found = self.selector.select(wait)
+    def poll(self, wait: float | None) -> None:
+        self.longest_iteration = max(self.longest_iteration, self.now() - self.polled_at)
+        ready_events = self.selector.select(wait)
         now = self.now()
-        late = self.timers and now - self.timers[0][0] > LATE
-        self.behind = now - self.looked_at if late else 0
-        self.looked_at = now
-        if len(found) > 1 and self.first is not None:
-            # Guards against sessions sent by a list that is old where what is new waits to be read, as after
-            # this process stood still.
-            found.sort(key=lambda one: one[0].data is not self.first)
-        for key, mask in found:
-            self.guard(key.data.ready, mask)
-
-    def guard(self, call: Callable[..., None], *given: object) -> None:
-        """Guards against one connection or action whose handling fails and stops all others."""
+        late = self.timers and now - self.timers[0][0] > STALL_THRESHOLD
+        self.stall_duration = now - self.polled_at if late else 0
+        self.polled_at = now
+        if len(ready_events) > 1 and self.priority_handler is not None:
+            # After a stall a new server list may be waiting; sessions must not be placed by the old one.
+            ready_events.sort(key=lambda event: event[0].data is not self.priority_handler)
+        for key, mask in ready_events:
+            self.run_guarded(key.data.on_ready, mask)
+
+    def run_guarded(self, callback: Callable[..., None], *arguments: object) -> None:
+        """Calls and reports exceptions, so that one failing handler does not stop the others."""
         try:
-            call(*given)
-        except Exception as fault:
-            self.on_fault(fault)
+            callback(*arguments)
+        except Exception as error:
+            self.on_exception(error)
 
     def stop(self) -> None:
         self.running = False
--- a/thymedeck/peers/settings.py
+++ b/thymedeck/peers/settings.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..net.told import server_address
+from ..net.config_file import server_address
 from .messages import is_name
 
 TIME_UNITS = {"ms": 10, "s": 10_000, "min": 600_000}  # in tenths of a millisecond
--- a/thymedeck/peers/transport.py
+++ b/thymedeck/peers/transport.py
@@ -4,9 +4,9 @@
 from collections import Counter, deque
 from typing import TYPE_CHECKING
 
+from ..net.config_file import server_address
 from ..net.loop import READ
 from ..net.system import System
-from ..net.told import server_address
 from .counts_table import FleetTotals
 from .events import (
     Action,
@@ -45,11 +45,11 @@
         self.settings = settings
         self.codec = DatagramCodec(settings.fleet, list(settings.keys))
         self.membership = Membership(
-            settings, name, seed, self.loop.now(), system.time_ns() // 1_000_000, service.site.replicas
+            settings, name, seed, self.loop.now(), system.time_ns() // 1_000_000, service.deployment.replicas
         )
         self.sock = system.datagram(settings.listen)
         self.sock.setblocking(False)
-        self.loop.free -= 1
+        self.loop.free_descriptors -= 1
         self.receive_limit = SlidingWindow(settings.take_most)
         self.dropped: Counter[str] = Counter()  # datagrams, by reason
         self.dial_counts: deque[tuple[int, int]] = deque()  # time of a count and dials made until then
@@ -74,7 +74,7 @@
             with contextlib.suppress(OSError):
                 self.sock.sendto(self.codec.seal(action.message), server_address(action.address))
 
-    def ready(self, mask: int) -> None:
+    def on_ready(self, mask: int) -> None:
         for _ in range(MAX_READS_PER_TURN):
             if not self.receive_limit.try_take(self.loop.now(), 1):
                 # Excess datagrams stay unread, so that a flood takes no time from the sessions.
@@ -108,11 +108,11 @@
         """Gathers this balancer's own counts for its peers; its own decisions never depend on them."""
         self.loop.after(COUNT_INTERVAL, self.gather_counts)
         service, now = self.service, self.loop.now()
-        if service.stopping and not self.is_stopping:
+        if service.is_stopping and not self.is_stopping:
             self.is_stopping = True
             self.handle_event(ShutdownStarted())
-        window = service.site.overload_window
-        self.dial_counts.append((now, service.dials))
+        window = service.deployment.overload_window
+        self.dial_counts.append((now, service.dial_count))
         while len(self.dial_counts) > 1 and self.dial_counts[1][0] <= now - window:
             self.dial_counts.popleft()
         kind_names = {index: name for name, index in service.kinds.items()}
@@ -120,9 +120,9 @@
         servers: list[tuple[int, int]] = []
         for server_id, position in service.server_index.items():
             server = service.servers[position]
-            if server.standing:
-                kinds[kind_names.get(server.entry.kind, "") if server.entry else ""] += len(server.standing)
-                servers.append((server_key(server_id), len(server.standing)))
+            if server.sessions:
+                kinds[kind_names.get(server.entry.kind, "") if server.entry else ""] += len(server.sessions)
+                servers.append((server_key(server_id), len(server.sessions)))
         servers.sort(key=lambda entry: (-entry[1], entry[0]))
         max_listed = self.settings.servers_most
         self.handle_event(
@@ -132,9 +132,9 @@
                     by_kind=sorted(kinds.items()),
                     by_server=servers[:max_listed],
                     unlisted=sum(count for _, count in servers[max_listed:]),
-                    dials=service.dials - self.dial_counts[0][1],
-                    draining=service.stopping,
-                    list_version=service.follower.version,
+                    dials=service.dial_count - self.dial_counts[0][1],
+                    draining=service.is_stopping,
+                    list_version=service.list_client.version,
                 )
             )
         )
--- a/tools/turns.py
+++ b/tools/turns.py
@@ -30,10 +30,10 @@
 sys.path.insert(0, os.getcwd())
 
 from tests.helpers import SETTINGS  # noqa: E402
-from thymedeck.net.servers import Dialled  # noqa: E402
-from thymedeck.net.service import Service, Wakeup  # noqa: E402
+from thymedeck.net.config_file import read_startup_config  # noqa: E402
+from thymedeck.net.servers import DialConnection  # noqa: E402
+from thymedeck.net.service import Service, SignalReceiver  # noqa: E402
 from thymedeck.net.system import System  # noqa: E402
-from thymedeck.net.told import read_start  # noqa: E402
 
 TABLE_HEADING = (
     "| connections | lines/s sent | echoed | turns | median ms | 99 % | 99.9 % | longest | over 100 ms "
@@ -68,25 +68,25 @@
 def run_balancer(configuration_file: str, result_file: str) -> None:
     """Runs the balancer's service and records when each dial begins and when its opening line is written."""
     begun: list[tuple[str, str, float]] = []
-    connect, flush = Dialled.connect, Dialled.flush
+    connect, flush = DialConnection.connect, DialConnection.flush
 
-    def on_connect(dial: Dialled, address: tuple[str, int]) -> str:
-        begun.append(("dial", dial.client.words[1].decode(), time.monotonic()))
+    def on_connect(dial: DialConnection, address: tuple[str, int]) -> str:
+        begun.append(("dial", dial.client.open_words[1].decode(), time.monotonic()))
         return connect(dial, address)
 
-    def on_flush(dial: Dialled) -> None:
-        if not (dial.connecting or dial.sent or dial.over):
-            begun.append(("line", dial.client.words[1].decode(), time.monotonic()))
+    def on_flush(dial: DialConnection) -> None:
+        if not (dial.connecting or dial.is_sent or dial.is_over):
+            begun.append(("line", dial.client.open_words[1].decode(), time.monotonic()))
         flush(dial)
 
-    Dialled.connect, Dialled.flush = on_connect, on_flush
-    wakeup = Wakeup()
-    service = Service(read_start(configuration_file), TimedSystem())
+    DialConnection.connect, DialConnection.flush = on_connect, on_flush
+    signals = SignalReceiver()
+    service = Service(read_startup_config(configuration_file), TimedSystem())
     signal.signal(
         signal.SIGUSR1, lambda *_: (TimedSelector.turn_seconds.clear(), TimedSelector.ready_counts.clear())
     )
     service.stop = service.loop.stop
-    service.serve(wakeup)
+    service.serve(signals)
     Path(result_file).write_text(
         json.dumps({"turns": TimedSelector.turn_seconds, "ready": TimedSelector.ready_counts, "begun": begun})
     )
