--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -13,7 +13,7 @@
     probability_of_at_least,
     run_warm_up,
 )
-from thymedeck.policy import chance_for
+from thymedeck.policy import admission_probability
 
 
 class ShareCheckingFleet(Fleet):
@@ -69,7 +69,9 @@
     for seed in range(rounds):
         fleet = Fleet(Case(30, 20, arrivals_per_second=120.0), seed)
         for age in range(0, DEPLOYMENT.warm_after, DEPLOYMENT.warm_after // 20):
-            probabilities = sum(chance_for(share, 30) for share in fleet.budget_shares(START_TIME + age))
+            probabilities = sum(
+                admission_probability(share, 30) for share in fleet.budget_shares(START_TIME + age)
+            )
             expected += probabilities * DEPLOYMENT.warm_after / DEPLOYMENT.overload_window / 20
         sent += fleet.run().sent
     assert abs(sent - expected) < 3 * sqrt(expected)
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -184,7 +184,7 @@
     states = dict.fromkeys(range(SERVERS), "SERVING") | dict.fromkeys(drained, "DRAINING")
     service.on_list(listing(2, states, full=True))
     assert [at for at, _ in deliveries[0]] == list(drained)
-    assert balancer.most_listed == SERVERS
+    assert balancer.max_listed_count == SERVERS
     assert {balancer.servers[at].state for at in drained} == {interface.ServerState.DRAINING}
     # Before the rest is delivered one of its servers drains too, and one leaves the list.
     late, gone = SERVERS - 2, SERVERS - 4
@@ -206,7 +206,7 @@
     service = service_with_sessions(0)
     service.on_list(listing(2, dict.fromkeys(range(SERVERS), "SERVING")))
     assert service.pending_updates
-    assert service.balancer.most_listed == SERVERS
+    assert service.balancer.max_listed_count == SERVERS
 
 
 def test_a_restored_session_reaches_a_server_that_is_still_queued() -> None:
--- a/thymedeck/lab/cold.py
+++ b/thymedeck/lab/cold.py
@@ -20,7 +20,7 @@
 from msgspec.structs import replace
 
 from .. import interface
-from ..policy import SECOND, Balancer, chance_for
+from ..policy import SECOND, Balancer, admission_probability
 
 LISTENER = interface.Listener(
     3000, 12000, interface.Effect.IDEMPOTENT, interface.DedupScope.ALL, 50000, 1.0, 500
@@ -98,7 +98,8 @@
         shares = fleet.budget_shares(START_TIME + int(max(age - window / 2, age / 2)))
         certain = [floor(share) for share in shares]
         shares = sorted(
-            chance_for(share - whole, case.balancers) for share, whole in zip(shares, certain, strict=True)
+            admission_probability(share - whole, case.balancers)
+            for share, whole in zip(shares, certain, strict=True)
         )
         sent = (sum(certain) + sum(shares)) * length / steps / window
         dense += sent * probability_of_at_least(shares[1:], failing_count - 1 - sum(certain))
@@ -185,8 +186,10 @@
         for balancer in self.balancers:
             balancer.now = now
             server = balancer.servers[self.case.warm_servers]
-            mean_sessions = balancer.sum_of_kind(server.kind, balancer.warm_sums()) / balancer.mean
-            shares.append(balancer.cold_part(server) * mean_sessions)
+            mean_sessions = (
+                balancer.warm_capacity_share(server.kind, balancer.warm_loads()) / balancer.mean_load
+            )
+            shares.append(balancer.cold_budget_ratio(server) * mean_sessions)
         return shares
 
     def run(self) -> WarmUp:
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -450,9 +450,8 @@
             now, loads
         ):
             if loads.is_one_period_old(now) and loads.previous is not None:
-                self.handle_event(
-                    interface.LoadReported(session_id, loads.previous)
-                )  # the previous line was a delay report too
+                # The previous line was a delay report too.
+                self.handle_event(interface.LoadReported(session_id, loads.previous))
             self.handle_event(interface.DelayReported(session_id, dial.server, int(load * 10)))
             return
         loads.record(now, load)
@@ -487,7 +486,7 @@
             )
             if has_answers or (server.is_unresponsive and waiting_clients):
                 delay = delays[-1] if server.is_unresponsive else delays[len(delays) // 2]
-                is_slow = 3 * delay > self.balancer.shortest_aim
+                is_slow = 3 * delay > self.balancer.shortest_message_aim
                 if is_slow or server.is_slow:
                     client = next(iter(waiting_clients or server.sessions), None)
                     self.handle_event(
