--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -450,9 +450,8 @@
             now, loads
         ):
             if loads.is_one_period_old(now) and loads.previous is not None:
-                self.handle_event(
-                    interface.LoadReported(session_id, loads.previous)
-                )  # the previous line was a delay report too
+                # The previous line was a delay report too.
+                self.handle_event(interface.LoadReported(session_id, loads.previous))
             self.handle_event(interface.DelayReported(session_id, dial.server, int(load * 10)))
             return
         loads.record(now, load)
