--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
 """Players for scenario files: text files of events and of the actions that are expected of one balancer.
 
-`PolicyScenario` plays these lines on the decision module alone:
+`PolicyScenario` plays these lines on the placement policy alone:
 
     set KEY=VALUE ...        before the first event: changes the deployment (listener keys apply to all)
     T list KIND S:STATE ...  the server list; after further colons: z1 zone, c2 cell, b50 start time,
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -34,10 +34,10 @@
     def __init__(self, seed: int, probes: bool) -> None:
         self.generator = random.Random(seed)
         listeners = (LISTENER, *DEDUPLICATED_LISTENERS)
-        site = replace(
+        deployment = replace(
             DEPLOYMENT, listeners=listeners, replicas=3, may_probe=probes, cross_zone_price=0.1 * probes
         )
-        self.balancer = Balancer(seed, site)
+        self.balancer = Balancer(seed, deployment)
         self.now = 100 * SECOND
         self.next_session_id = 0
         self.pending: dict[int, int] = {}
@@ -145,7 +145,7 @@
 
 def ties_by_scan(balancer: Balancer, session: Session, new_load: float) -> set[int]:
     """Returns the servers that tie, by a scan of all ready servers without the index."""
-    now, site = balancer.now, balancer.deployment
+    now, deployment = balancer.now, balancer.deployment
     keys: dict[int, tuple[int, float]] = {}
     for server in balancer.servers.values():
         if server.state is not interface.ServerState.READY or not balancer.shares_deduplication(
@@ -167,7 +167,11 @@
         ):
             rank = 1
         else:
-            rank = -1 if site.may_probe and site.cross_zone_price and server.zone == site.zone else 0
+            rank = (
+                -1
+                if deployment.may_probe and deployment.cross_zone_price and server.zone == deployment.zone
+                else 0
+            )
         load = balancer.load_sum(server) + balancer.remaining_fading_load(server)
         keys[server.index] = (rank, load * balancer.load_factors.get(server.kind, 1.0))
     return {index for index, key in keys.items() if key == min(keys.values())}
@@ -227,14 +231,14 @@
 
 # The draw among cold servers that admit a session keeps to weights and kinds of machine.
 def test_cold_servers_are_drawn_by_weight_and_kind() -> None:
-    site = replace(DEPLOYMENT, replicas=1, quota_connections=1e6)
-    balancer = Balancer(1, site)
+    deployment = replace(DEPLOYMENT, replicas=1, quota_connections=1e6)
+    balancer = Balancer(1, deployment)
     now = 100 * SECOND
     weights = {0: 1.0, 1: 3.0, 2: 1.0}
     drawn: Counter[int] = Counter()
     rounds = 3000
     for session_id in range(rounds):
-        now += site.overload_window + 1
+        now += deployment.overload_window + 1
         cold = [
             interface.ServerEntry(
                 index, 0, 0, interface.ServerState.READY, now, weights[index], kind=index // 2
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -46,7 +46,7 @@
     ids=str,
 )
 def test_fewer_than_one_warm_up_in_ten_thousand_fails(case: Case) -> None:
-    """By the exact upper bounds, as simulation would take far too many warm-ups to show so rare a failure."""
+    """By upper bounds from exact probabilities, as so rare a failure would take far too many simulations."""
     dense, simultaneous = failure_bounds(case, 1)
     assert dense < 1e-4
     assert simultaneous < 1e-4
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -220,7 +220,7 @@
 
 
 def test_new_kind_is_drawn_at_once() -> None:
-    """Kinds are updated once a second but lists arrive at any time; a draw must not miss a new kind."""
+    """Lists arrive between the updates of the kinds' shares, once a second; the draw needs that of a new kind."""
     balancer = Balancer(1, replace(DEPLOYMENT, replicas=200))
     balancer.handle(0, interface.ServerListUpdated(interface.ListKind.SAVED, entries_of_two_kinds(4)))
     balancer.handle(20_000, interface.SessionArrived(0, 0, 12_000, None, None, False))
@@ -237,15 +237,15 @@
 
 def test_first_list_requests_leave_time_for_a_second() -> None:
     """Balancers that restart together must learn of new servers before the time to request the list ends."""
-    site = replace(DEPLOYMENT, replicas=200, list_on_request=True)
+    deployment = replace(DEPLOYMENT, replicas=200, list_on_request=True)
     delays = []
     for seed in range(200):
-        actions = Balancer(seed, site).handle(
+        actions = Balancer(seed, deployment).handle(
             0, interface.ServerListUpdated(interface.ListKind.SAVED, [ready_entry(WARM, 0)])
         )
         delays += [action.after for action in actions if isinstance(action, interface.SetTimer)]
     assert len(delays) == 200
-    assert 0.35 * site.list_poll_within < max(delays) < 0.42 * site.list_poll_within
+    assert 0.35 * deployment.list_poll_within < max(delays) < 0.42 * deployment.list_poll_within
     assert (
         max(sum(start <= delay < start + 4_000 for delay in delays) for start in range(0, 40_000, 4_000)) < 40
     )
--- a/thymedeck/benchlink.py
+++ b/thymedeck/benchlink.py
@@ -13,7 +13,7 @@
 
 from . import interface, wire
 from .policy import Balancer
-from .settings import MIN_WEIGHT, deployment_from, floor_ticks
+from .settings import MIN_WEIGHT, deployment_from, floor_tenths_ms
 
 STATES = {
     "ready": interface.ServerState.READY,
@@ -113,13 +113,16 @@
             del self.session_by_request[self.request_by_session.pop(session_id)]
 
     def translate(self, event: wire.AnyEvent) -> interface.Event | None:
-        """Returns the balancer's event, or None if the message concerns a session or server unknown here."""
+        """Returns the balancer's event, or None for a message that is ignored.
+
+        Ignored are messages about sessions or servers unknown here, of unknown kinds, and from peers.
+        """
         if isinstance(event, wire.UpdateOf):
             return self.translate_update(event)  # checked first: most messages are of this kind
         match event:
             case wire.Accept():
                 return interface.SessionArrived(
-                    self.add_session(event.req), event.type, floor_ticks(event.budget_us),
+                    self.add_session(event.req), event.type, floor_tenths_ms(event.budget_us),
                     event.work_us, event.partition_key, event.mid_flow,
                 )  # fmt: skip
             case wire.AlreadyOpen():
@@ -147,7 +150,7 @@
             return None
         match event:
             case wire.HeadReceived():
-                return interface.SessionEstablished(session_id, server, floor_ticks(event.duration_us))
+                return interface.SessionEstablished(session_id, server, floor_tenths_ms(event.duration_us))
             case wire.ClosedAttempt():
                 outcome = OUTCOMES.get(event.disposition, interface.DialOutcome.UNKNOWN)
                 return interface.DialEnded(
@@ -182,9 +185,8 @@
             )
             for member in event.members
         ]  # fmt: skip
-        return interface.ServerListUpdated(
-            kind, entries, is_scheduled=True
-        )  # in the simulator the list is fetched only on `RequestList`
+        # In the simulator every request for the list is made on `RequestList`.
+        return interface.ServerListUpdated(kind, entries, is_scheduled=True)
 
     def encode_action(self, action: interface.Action) -> dict[str, Any]:
         """Returns the simulator's message for an action."""
--- a/thymedeck/interface.py
+++ b/thymedeck/interface.py
@@ -43,7 +43,7 @@
     CANCELLED = 6
     NOT_SENT = 7  # the request was not sent
     UNKNOWN = 8
-    MOVED = 9  # the draining server asked the client to move
+    MOVED = 9  # the server asked the client to move, as it does when it drains
 
 
 NEVER_EXECUTED = frozenset((DialOutcome.REJECTED, DialOutcome.UNREACHABLE, DialOutcome.NOT_SENT))
--- a/thymedeck/policy/balancer.py
+++ b/thymedeck/policy/balancer.py
@@ -1,7 +1,7 @@
 """Placement policy: all decisions of a balancer, without I/O.
 
-The caller creates one Balancer(seed, deployment) per balancer process, passes each event to `handle(now,
-event)` and carries out the returned actions in order. The types of events and actions are in
+The caller creates a Balancer(seed, deployment) for each balancer, passes each event to `handle(now, event)`
+and carries out the returned actions in order. The types of events and actions are in
 thymedeck/interface.py. `now` and all times are whole tenths of a millisecond; durations may be fractions of
 one. Loads are on one scale: that of the loads reported for sessions where the deployment has them reported,
 otherwise that of the clients' hints. A session is in `Balancer.sessions` from its arrival until its final
@@ -63,21 +63,24 @@
 )
 
 LOG_REPEAT_INTERVAL = 10 * SECOND  # a condition absent for longer is logged again when it returns
-HISTORY_LIMIT = 100  # recent sessions whose mean load stands in for an unknown load (design page)
+HISTORY_LIMIT = 100  # recent sessions whose mean load stands in for an unknown load (docs/design.md)
 TRIAL_DELAY = SECOND  # mean delay until the first trial dial to an ejected server
-DELAY_REPORT_LIFETIME = (
-    25_000  # slow messages are reported every second; after two misses they are likely over
-)
+# Slow messages are reported every second; after two missing reports they are likely over.
+DELAY_REPORT_LIFETIME = 25_000
 UTILIZATION_REPORT_LIFETIME = 5 * SECOND  # older reports are not trusted
-UTILIZATION_DRIFT = 0.15 / SECOND  # fastest change of a utilization towards the load cap after its report
+UTILIZATION_DRIFT = (
+    0.15 / SECOND
+)  # assumed fastest change of a utilization towards the load cap after its report
 MAX_FULL_ANSWERS = 8  # probed servers found at their load cap before the session is refused
 LEARNED_CAP_FACTOR = 0.9  # learned load cap, as a part of the load sum at which messages were slow
 FLEET_SETUPS_LIMIT = 16  # latest set-ups over the whole fleet, from which throttling is decided
-# Backoff of a balancer after a server or the whole fleet has refused it. It is proportional to the number of
-# balancers within limits, so that all together retry only a few times a second.
+# Backoff of a balancer after a server has refused a session, or after a failed set-up while dials are
+# throttled. Within limits it is proportional to the number of balancers, as the retries of all add up.
 BACKOFF_PER_BALANCER = SECOND / 6
 MIN_BACKOFF, MAX_BACKOFF = SECOND / 2, 5 * SECOND
-LOAD_CAP = 0.75  # utilization from which a server is passed over while others are below
+LOAD_CAP = (
+    0.75  # utilization from which a server is passed over; with all servers there, sessions are refused
+)
 MOVE_ABOVE = 0.9  # utilization from which sessions are moved off: it may pass 1 before the next report
 MOVE_DOWN_TO = 0.7  # a little under the load cap, so that the server is not at the cap again at once
 HUNG_DELAY = SECOND // 2  # a message delay from here on means a server that hangs, not one that is full
@@ -86,11 +89,13 @@
 GROWTH_WINDOW = SECOND  # delay reports come as often
 MAX_STEPPED_SHARE = 0.5  # limit of the steps above, as the next report may show that the moves were enough
 RECOUNT_INTERVAL = SECOND  # between counts over all active servers; delay reports come as often
-MOVE_PAUSE = 3 * SECOND  # between moves, until a utilization report shows the effect of the last ones
+MOVE_PAUSE = 3 * SECOND  # between moves by utilization, until a report shows the effect of the last ones
 REGROUP_INTERVAL = SECOND // 10  # between checks for active servers that have become idle
 LIST_SPREAD_PER_BALANCER = 0.005  # time for each balancer's list request, as a part of `list_poll_within`
-MIN_SETTLED_WEIGHT = 1e-6  # above zero, as a draw among settled servers alone needs a positive total weight
-MAX_LIST_SPREAD = 0.4  # the same over all balancers; it leaves time for a second request if the first fails
+MIN_SETTLED_WEIGHT = 1e-6  # least factor; above zero, as a draw among settled servers alone needs weights
+# Longest spread of the list requests of all balancers, as a part of `list_poll_within`. It leaves time for a
+# second request if the first fails.
+MAX_LIST_SPREAD = 0.4
 # A list must be known 6 s after it becomes available, and a request may take 2 s to be answered.
 MAX_LIST_REQUEST_INTERVAL = 3.8 * SECOND
 # Difference kept between the square roots of a limit and of the expected value of a Poisson-distributed
@@ -123,7 +128,7 @@
         self.possible_executor: Server | None = None  # first server that may have executed the opening line
         self.possibly_ran_at = 0  # when that server was dialled
         self.is_established = False
-        self.has_left = False  # the client has left while the dial is pending
+        self.has_left = False  # the client has left, but the end of the dial is still to come
 
 
 class Ties(NamedTuple):
@@ -180,10 +185,12 @@
 def admission_probability(share: float, replicas: int) -> float:
     """Returns the probability with which a cold server admits a session in a window.
 
-    `share` is this balancer's budget for the window in sessions, from 0 to 1. All balancers decide
-    independently, so the number N that they should admit together varies by its square root; the
-    probability is below `share` so that the server's tolerance, N + 2 sqrt(N) + 2 sessions, is not
-    exceeded. The closer `share` is to 1, the less the number varies and the smaller is the reduction.
+    `share` is this balancer's budget for the window in sessions, from 0 to 1; N is the sum of the shares
+    of all balancers. The server fails above N + 2 sqrt(N) + 2 sessions in a window. All balancers draw
+    independently. If each admitted a session with the probability `share`, the sum would vary like a
+    Poisson distribution for small shares, and would exceed that limit too often; so the probability is
+    reduced to the fraction `least` of a small share. The sum varies less the closer the draws are to
+    certainty, and not at all with a share of 1. So the factor rises with the share, up to 1.
     """
     total = max(share * replicas, 1)
     least = max(
@@ -198,7 +205,8 @@
     def __init__(self, seed: int, deployment: Deployment) -> None:
         self.deployment = deployment
         self.shortest_message_aim = min(listener.message_aim for listener in deployment.listeners)
-        # A set-up that takes half the shortest handshake target means that what it needs is nearly exhausted.
+        # A set-up that takes half the shortest handshake target is late: what it needs, such as a shared
+        # store, is nearly exhausted.
         self.late_setup_threshold = min(listener.handshake_target for listener in deployment.listeners) // 2
         # Jitter for list requests: the list service does not grow with the balancers, whose simultaneous
         # requests would queue up there.
@@ -237,7 +245,7 @@
         # Whether servers of which this balancer observes nothing are assumed to be full; drawn for each pick.
         self.assumes_unobserved_full = False
         self.full_fraction = 0.0  # of the observed servers, those at their load cap
-        self.available_count = 0  # servers not known to be full
+        self.available_count = 0  # servers neither known to be full nor ejected
         self.recounted_at = -RECOUNT_INTERVAL - 1  # when these two were last computed
         self.kind_shares: dict[int, float] = {}  # by kind of machine: weight of all its servers in a draw
         # By kind: multiplies its load sums, which count half for a kind that carries twice the mean.
@@ -279,8 +287,8 @@
             max_delay = max(
                 deployment.list_poll_within / 20 * 2 ** min(self.list_failures, 3), self.list_request_spread
             )
-            # A pushed list is considered received although no watch is open, so a drain must not be missed
-            # for longer than a part of its grace time.
+            # What the list service pushes counts as received by this balancer even while it has no watch
+            # open. So that a drain is not noticed too late, the delay is a part of its grace time at most.
             max_delay = min(
                 max_delay,
                 MAX_LIST_REQUEST_INTERVAL - event.call_duration,
@@ -308,7 +316,8 @@
                     self.mark_gone(server)
         self.candidates.regroup_idle(self.now, list(self.candidates.active.values()))
         if changed or event.kind is not ListKind.CHANGES:
-            # A kind that is new on the list has no share yet, so it could not be drawn until the next update.
+            # `draw_candidate` looks up the share of each kind; a kind that is new on the list has none before
+            # the next update.
             self.kinds_updated_at = -RECOUNT_INTERVAL - 1
             self.max_listed_count = max(self.max_listed_count, self.listed_count, event.listed_count)
 
@@ -400,9 +409,8 @@
         elif server.session_count > server.unknown_load_count:
             server.known_load = max(server.known_load - session.load, 0.0)
         else:
-            server.known_load = (
-                0.0  # no session of known load is left; a subtraction may leave a rounding error
-            )
+            # No session of known load is left; a subtraction may leave a rounding error.
+            server.known_load = 0.0
         session.server = None
 
     def on_load_reported(self, event: LoadReported) -> None:
@@ -475,7 +483,8 @@
             # One more session on a full server would spoil the service of those already open.
             fits = server is not None and not self.is_at_cap(server)
             if fits and not (self.assumes_unobserved_full and self.is_unobserved(server)):
-                if (  # the answer, or its timeout, has to leave time for a dial
+                # A probe needs twice its timeout: if it is not answered, as much time is left for the dial.
+                if (
                     self.deployment.may_probe
                     and time_left > 2 * self.probe_timeout
                     and self.needs_probe(server)
@@ -504,7 +513,7 @@
         return None if self.may_repeat(session) else Reason.MAY_HAVE_RUN
 
     def needs_probe(self, server: Server) -> bool:
-        """Whether no report tells the server's utilization and it has left no probe unanswered recently."""
+        """Whether there is no valid report of the utilization, and no probe was left unanswered recently."""
         return self.now > server.report_valid_until and self.now >= server.silent_until
 
     def probe(self, session_id: int, server: Server) -> None:
@@ -538,9 +547,8 @@
             return True
         if listener.effect is Effect.AT_MOST_ONCE:
             return False
-        return (
-            self.now + self.deployment.connect_timeout - session.possibly_ran_at <= listener.dedup_window
-        )  # the line is sent within the connect timeout
+        # The line is sent within the connect timeout.
+        return self.now + self.deployment.connect_timeout - session.possibly_ran_at <= listener.dedup_window
 
     def count_errors(self, session: Session) -> None:
         """Counts the errors that servers answered this session with as their failures."""
@@ -621,7 +629,7 @@
             self.subject_servers[session.subject] = server.index
 
     def on_dial_ended(self, event: DialEnded) -> None:
-        """Ends an established session, or evaluates the failed set-up and places the session again."""
+        """Ends an established session; otherwise evaluates the set-up and may place the session again."""
         server = self.servers[event.server]
         if event.utilization is not None:
             self.record_utilization(server, event.utilization)
@@ -664,9 +672,9 @@
     def pick(self, session: Session) -> Server | None:
         """Returns the server with the smallest load sum in the best rank, a random one among ties.
 
-        Ties are drawn by the list's weights, by kinds of machine and by the lack of newcomers
-        (`draw_candidate`). Cold servers, and others while their growth is limited, are passed over when
-        their budget is used up. Returns None if no server may take the session.
+        Ties are drawn by the list's weights and by kinds of machine, with a preference for newcomers that
+        lack sessions (`draw_candidate`). Cold servers, and others while their growth is limited, are passed
+        over when their budget is used up. Returns None if no server may take the session.
         """
         load = self.load_of(session)
         # A balancer with few sessions observes few servers; the sums of the others are zero, so that in an
@@ -890,8 +898,8 @@
         """Returns the servers of the lowest rank that tie for the smallest scaled load sum.
 
         Ranks: -1 in the own zone where crossings cost; 0 usable; 1 at its load cap, or unobserved and
-        assumed to be; 2 backing off after a refusal or an unanswered probe; 3 ejected and not due for a
-        trial; 4 already tried.
+        assumed to be; 2 backing off after a refusal or an unanswered probe; 3 ejected, with no trial due or
+        with a dial pending; 4 already tried.
         """
         now = self.now
         mean_load = self.mean_load
@@ -1060,8 +1068,8 @@
 
         Many balancers with such budgets would overload the server together if each of them sent one
         session. The draw is made once for a window, so that more dials in it do not raise the probability.
-        For a warm server the probability is divided by the number of dials that are expected to ask in the
-        window, as this server among its ties, where that is below 1.
+        A warm server is asked only by the dials for which it is drawn among its ties. Where fewer than one of
+        these is expected in the window, the probability is divided by the expected number.
         """
         if self.now >= server.draw_valid_until:
             server.admission_draw = self.uniform(0, 1)
@@ -1131,8 +1139,9 @@
 
         Retries would otherwise keep down what all set-ups need, such as a shared store. Throttling starts
         when half of the last FLEET_SETUPS_LIMIT set-ups were late or failed, on a third of the servers (of
-        that many in a large fleet) and in the own zone too; otherwise it is unhealthy servers or zones that
-        are cut off. It ends when all of the last ones were in time. The limit grows by one with each set-up
+        FLEET_SETUPS_LIMIT servers in a larger fleet) and in the own zone too; otherwise the fault is that of
+        some servers, or of zones that are cut off. Unreachable servers don't count. It ends when all of the
+        last FLEET_SETUPS_LIMIT set-ups were in time. The limit grows by one with each set-up
         in time, falls by one with each late one and is halved, with a pause, by each failure.
         """
         self.fleet_setups.append((server, in_time))
@@ -1200,9 +1209,10 @@
     def exceeds_learned_cap(self, server: Server, load: float) -> bool:
         """Whether this load would take the load sum over the cap learned from slow messages on this server.
 
-        The paper behind the placement rule takes a maximum load as given; here it is learned. A slow machine
-        would otherwise be filled again as soon as it has recovered, over and over. What was learned is
-        forgotten after FADE_TIME.
+        The paper behind the placement rule (docs/design.md) has a maximum load for a server. Here it is
+        learned: the smallest of the last load sums at which the server's messages were slow, times
+        LEARNED_CAP_FACTOR. A slow machine would otherwise be filled again as soon as it has recovered, over
+        and over. What was learned is forgotten after FADE_TIME.
         """
         learned = server.learned_caps
         while learned and learned[0][0] < self.now - FADE_TIME:
@@ -1233,9 +1243,9 @@
     def sheds_session(self) -> bool:
         """Load shedding: whether to refuse a session by chance, as most observed servers are full.
 
-        The probability rises from 0 at half of the servers full to 1 at three quarters, times the part of
-        the dials that this balancer does not see. Otherwise all balancers would fill the few good servers
-        of a full fleet at once.
+        All balancers would otherwise fill the few good servers of a full fleet at once. The probability
+        rises from 0 with half of the servers full to 1 with three quarters, times the part of the dials that
+        this balancer does not see. Where servers are probed, no session is shed.
         """
         self.count_full_servers()
         unseen = 0 if self.deployment.may_probe else 1 - 1 / self.deployment.replicas
@@ -1293,9 +1303,9 @@
         if delay <= self.shortest_message_aim:
             server.slow_streak = 0
             return
-        # The delay is the work queued before a message. To clear the queue in a second, the same part of a
-        # second's load has to go elsewhere. The share also grows with each further report above the aim, as
-        # a heavy session that fits no small share must go too.
+        # The delay is the work queued before a message. To clear the queue within a second, the part
+        # delay / SECOND of the load has to go elsewhere. The share also grows with each further report above
+        # the aim, as a heavy session that fits no small share must go too.
         server.slow_streak += 1
         share = max(
             min(MOVE_SHARE_STEP * (1 + server.slow_streak), MAX_STEPPED_SHARE), min(delay / SECOND, 1)
@@ -1322,7 +1332,8 @@
         order = sorted(
             server.open_sessions.items(), key=lambda item: self.move_order(item[1], others_available)
         )
-        lightest = max(surplus / 20, self.mean_load / 2)  # lighter sessions are not worth a move
+        # Lighter sessions are not worth a move. The bound by the surplus keeps it to twenty moves at a time.
+        lightest = max(surplus / 20, self.mean_load / 2)
         moved = 0
         for session_id, session in order:
             load = self.load_of(session)
@@ -1386,7 +1397,7 @@
                 self.place_probe_waiters(server)
 
     def set_timer(self, timer: Timer, index: int, after: float) -> None:
-        """Sets a timer that fires after this duration, rounded up to a whole tick."""
+        """Sets a timer that fires at the next whole tenth of a millisecond after this duration."""
         self.actions.append(SetTimer(timer, index, int(after) + 1))
 
     def log(self, text: str) -> None:
--- a/thymedeck/policy/candidates.py
+++ b/thymedeck/policy/candidates.py
@@ -138,8 +138,7 @@
     """All ready servers; each is either active or in a group."""
 
     def __init__(self, warm_after: int, window: int) -> None:
-        """A server is cold for `warm_after` from its start; `Server.sent_loads` matters for the time
-        `window`."""
+        """Takes the time for which a server is cold, and that for which `Server.sent_loads` are kept."""
         self.warm_after = warm_after
         self.window = window
         self.ready: list[Server] = []
@@ -200,7 +199,7 @@
             self.active[server.index] = server
 
     def regroup_idle(self, now: int, servers: Iterable[Server]) -> None:
-        """Moves those of these active servers that are idle again into groups, without their old records."""
+        """Moves those of these active servers that are idle again into groups; expired state is cleared."""
         for server in servers:
             if server.is_idle(now, self.window):
                 server.learned_caps.clear()
--- a/thymedeck/policy/server.py
+++ b/thymedeck/policy/server.py
@@ -13,9 +13,9 @@
     from .candidates import Group
 
 SECOND = 10_000  # in tenths of a millisecond
-# Time over which `fading_load` falls to zero, and for which learned load caps are kept (design page).
+# Time over which `fading_load` falls to zero, and for which learned load caps are kept (docs/design.md).
 FADE_TIME = 30 * SECOND
-RECENT_LIMIT = 8  # set-ups kept for each server, and dials kept for the balancer
+RECENT_LIMIT = 8  # set-ups kept for each server and kind of machine, and dials kept for the balancer
 LEARNED_CAPS_LIMIT = 3  # learned load caps kept for each server
 SETUP_WAITS_LIMIT = 3  # set-ups from which slow messages are inferred where message delays are not reported
 
@@ -77,7 +77,7 @@
         self.is_unhealthy = False  # ejected after failed set-ups, but for single trial dials
         self.trial_at = 0  # earliest time of the next trial dial
         self.trial_count = 0  # failed trials since the ejection
-        self.full_until = 0  # end of the backoff after it refused a session as full; a last choice until then
+        self.full_until = 0  # end of the backoff after it refused a session as full; others come first
         self.learned_caps: list[tuple[int, float]] = []  # time and load cap learned, by slow messages
         self.lowest_learned_cap = 0.0  # of these; 0: none is known
         self.slow_streak = 0  # consecutive reports of a message delay above the shortest message aim
@@ -87,8 +87,8 @@
         self.setup_waits: list[int] = []  # time of the last set-ups beyond the quickest of the zone
         self.utilization = 0.0  # load divided by capacity, as last reported
         self.load_at_report = 0.0  # known_load at that time
-        self.report_valid_until = -1  # until then the last report tells whether it is above the load cap
-        self.silent_until = 0  # end of the backoff after an unanswered probe; a last choice until then
+        self.report_valid_until = -1  # until then the last report shows on which side of the load cap it is
+        self.silent_until = 0  # end of the backoff after an unanswered probe; others come first
 
     def is_idle(self, now: int, window: int) -> bool:
         """Whether only its list entry affects decisions; `sent_loads` counts for the time `window`."""
--- a/thymedeck/settings.py
+++ b/thymedeck/settings.py
@@ -35,11 +35,11 @@
 
 
 class Extra(Struct):
-    message_aim_us: list[float] = []
-    mode: str = "proxy"
-    tells_load: bool = False
-    tells_delay: bool = True
-    tenant_quota_connections: list[float] = []
+    message_aim_us: list[float] = []  # by listener
+    mode: str = "proxy"  # with "pass", the packets of a flow may move to another balancer
+    tells_load: bool = False  # the loads of open sessions are reported
+    tells_delay: bool = True  # the time that messages take is reported
+    tenant_quota_connections: list[float] = []  # by tenant
 
 
 class Limits(Struct):
@@ -73,7 +73,7 @@
 
 
 class Settings(Struct):
-    """All settings of a deployment, the content of the key `settings`."""
+    """All settings of a deployment: the key `settings` of the configuration file, `env` in the simulator."""
 
     listeners: list[Listener]
     limits: Limits
@@ -89,12 +89,12 @@
     kinds: list[str] = []
 
 
-def floor_ticks(us: float) -> int:
+def floor_tenths_ms(us: float) -> int:
     """Converts microseconds to whole tenths of a millisecond, rounded down."""
     return int(us // 100)
 
 
-def ceil_ticks(us: float) -> int:
+def ceil_tenths_ms(us: float) -> int:
     """Converts microseconds to whole tenths of a millisecond, rounded up."""
     return int(-(-us // 100))
 
@@ -104,14 +104,14 @@
     aims = settings.extra.message_aim_us
     listeners = tuple(
         interface.Listener(
-            handshake_target=floor_ticks(li.handshake_target_us),
-            dial_timeout=floor_ticks(li.deadline_us),
+            handshake_target=floor_tenths_ms(li.handshake_target_us),
+            dial_timeout=floor_tenths_ms(li.deadline_us),
             # An unknown effect or scope is treated as the strictest one.
             effect=EFFECTS.get(li.effect, interface.Effect.AT_MOST_ONCE),
             dedup_scope=SCOPES.get(li.dedup_scope, interface.DedupScope.CELL),
-            dedup_window=floor_ticks(li.memory_span_us),
+            dedup_window=floor_tenths_ms(li.memory_span_us),
             utility=li.utility,
-            message_aim=floor_ticks(aims[at] if at < len(aims) else NO_MESSAGE_AIM),
+            message_aim=floor_tenths_ms(aims[at] if at < len(aims) else NO_MESSAGE_AIM),
         )
         for at, li in enumerate(settings.listeners)
     )
@@ -120,21 +120,21 @@
         listeners=listeners,
         zone=settings.zone,
         replicas=max(settings.replicas_of_me, 1),
-        tick=ceil_ticks(settings.tick_us),
-        connect_timeout=ceil_ticks(limits.dial_timeout_us),
+        tick=ceil_tenths_ms(settings.tick_us),
+        connect_timeout=ceil_tenths_ms(limits.dial_timeout_us),
         max_dials=limits.max_dials,
         may_probe=limits.probes and "x0" in settings.report.fields,
-        max_retry_after=floor_ticks(limits.max_retry_after_us) if limits.retry_after else 0,
+        max_retry_after=floor_tenths_ms(limits.max_retry_after_us) if limits.retry_after else 0,
         list_on_request=settings.discovery == "on_request",
-        list_poll_within=floor_ticks(contract.ask_within_us),
+        list_poll_within=floor_tenths_ms(contract.ask_within_us),
         start_capacity=contract.start_capacity,
-        warm_after=ceil_ticks(contract.warm_after_us),
+        warm_after=ceil_tenths_ms(contract.warm_after_us),
         overload_factor=contract.overload_factor,
-        overload_window=ceil_ticks(contract.overload_for_us),
+        overload_window=ceil_tenths_ms(contract.overload_for_us),
         reports_load=settings.extra.tells_load,
         reports_delay=settings.extra.tells_delay,
         is_passthrough=settings.extra.mode == "pass",
         cross_zone_price=settings.prices.cross_zone,
-        drain_grace=max(floor_ticks(contract.drain_grace_us), MIN_DRAIN_GRACE),
+        drain_grace=max(floor_tenths_ms(contract.drain_grace_us), MIN_DRAIN_GRACE),
         quota_connections=sum(settings.extra.tenant_quota_connections),
     )
--- a/thymedeck/wire.py
+++ b/thymedeck/wire.py
@@ -53,8 +53,8 @@
     req: int
     type: int  # index of the listener
     budget_us: int
-    partition_key: str | None = None
-    work_us: float | None = None
+    partition_key: str | None = None  # the subject
+    work_us: float | None = None  # the load hint
     mid_flow: bool = False
 
 
@@ -65,8 +65,8 @@
     req: int
     server: int
     type: int
-    partition_key: str | None = None
-    work_us: float | None = None
+    partition_key: str | None = None  # the subject
+    work_us: float | None = None  # the load hint
 
 
 class Hangup(Struct, tag_field="t", tag="HANGUP"):
@@ -93,7 +93,7 @@
     server: int
     disposition: str
     complete: bool = False  # the session is over as well
-    stats: list[float] | None = None
+    stats: list[float] | None = None  # in the order of `Report.fields`
 
 
 class UpdateOf(Struct, tag_field="t", tag="UPDATE_OF"):
@@ -112,7 +112,7 @@
     i: int
     server: int
     disposition: str
-    stats: list[float] | None = None
+    stats: list[float] | None = None  # in the order of `Report.fields`
 
 
 class Wake(Struct, tag_field="t", tag="WAKE"):
