--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -66,7 +66,7 @@
 
 
 def list_only_service() -> Service:
-    """A service that can only process server lists; it records what it logs and tells the policy."""
+    """A service that can only process server lists; records its log events and those passed to the policy."""
     service = object.__new__(Service)
     service.server_index, service.servers, service.pending_updates, service.loop_time_offset = {}, [], {}, 5
     service.zones, service.kinds = {"z": 0}, {"big": 0}
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -58,7 +58,7 @@
     ids=str,
 )
 def test_no_cold_server_fails(case: Case) -> None:
-    """Nor does any balancer send more sessions than its own share of the budget."""
+    """Nor does any balancer send more sessions than its own share of the budget, rounded up."""
     for seed in range(4):
         fleet = ShareCheckingFleet(case, seed)
         assert fleet.run().failed == 0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -220,7 +220,7 @@
 
 
 def test_new_kind_is_drawn_at_once() -> None:
-    """Lists arrive between the updates of the kinds' shares, once a second; the draw needs that of a new kind."""
+    """A draw needs the share of each kind; they are updated once a second, but lists arrive at any time."""
     balancer = Balancer(1, replace(DEPLOYMENT, replicas=200))
     balancer.handle(0, interface.ServerListUpdated(interface.ListKind.SAVED, entries_of_two_kinds(4)))
     balancer.handle(20_000, interface.SessionArrived(0, 0, 12_000, None, None, False))
--- a/thymedeck/interface.py
+++ b/thymedeck/interface.py
@@ -69,7 +69,7 @@
 
 class Timer(IntEnum):
     LIST_REQUEST = 0  # the server list is to be requested
-    PROBE_TIMEOUT = 1  # the probed server has not answered in time; the index is the server's
+    PROBE_TIMEOUT = 1  # the time for the answer to a probe is over; the index is the server's
 
 
 class Listener(Struct, frozen=True):
@@ -80,7 +80,7 @@
     effect: Effect
     dedup_scope: DedupScope
     dedup_window: int  # for how long servers drop repeats
-    utility: float  # value of one session; the lowest are moved first when all servers are overloaded
+    utility: float  # value of one session; the lowest are moved first when no other server has capacity
     message_aim: int  # target for the time that a message takes
 
 
@@ -106,7 +106,7 @@
     reports_load: bool  # the loads of open sessions are reported
     reports_delay: bool  # the time that messages take is reported
     is_passthrough: bool  # the packets of a flow may move to another balancer
-    cross_zone_price: float
+    cross_zone_price: float  # above 0: the own zone is preferred, where servers may be probed
     drain_grace: int  # time within which sending to a draining server has to stop
     quota_connections: float  # connections the fleet has to carry, summed over all tenants; 0: not set
 
--- a/thymedeck/policy/balancer.py
+++ b/thymedeck/policy/balancer.py
@@ -8,10 +8,10 @@
 answer or its end.
 
 Sessions are placed on the server with the smallest sum of the loads of this balancer's own sessions, as
-balancers don't know one another's sessions. Around that rule there are: an
-initial load for new servers, slow start for cold ones, a learned load cap, a circuit breaker for each
-server, throttling when set-ups fail on the whole fleet, and moves of sessions off overloaded servers. A
-decision visits the servers with own state one by one and all others in groups (candidates.py).
+balancers don't know one another's sessions. Around that rule there are: an initial load for new servers,
+slow start for cold ones, a learned load cap, a circuit breaker for each server, throttling when set-ups fail
+on the whole fleet, and moves of sessions off overloaded servers. A decision visits the servers of which this
+balancer has observed something one by one, and all others in groups (candidates.py).
 """
 
 import random
@@ -68,19 +68,15 @@
 # Slow messages are reported every second; after two missing reports they are likely over.
 DELAY_REPORT_LIFETIME = 25_000
 UTILIZATION_REPORT_LIFETIME = 5 * SECOND  # older reports are not trusted
-UTILIZATION_DRIFT = (
-    0.15 / SECOND
-)  # assumed fastest change of a utilization towards the load cap after its report
+UTILIZATION_DRIFT = 0.15 / SECOND  # assumed fastest change towards the load cap after a report
 MAX_FULL_ANSWERS = 8  # probed servers found at their load cap before the session is refused
 LEARNED_CAP_FACTOR = 0.9  # learned load cap, as a part of the load sum at which messages were slow
 FLEET_SETUPS_LIMIT = 16  # latest set-ups over the whole fleet, from which throttling is decided
 # Backoff of a balancer after a server has refused a session, or after a failed set-up while dials are
-# throttled. Within limits it is proportional to the number of balancers, as the retries of all add up.
+# throttled. Within limits, it is proportional to the number of balancers, as the retries of all add up.
 BACKOFF_PER_BALANCER = SECOND / 6
 MIN_BACKOFF, MAX_BACKOFF = SECOND / 2, 5 * SECOND
-LOAD_CAP = (
-    0.75  # utilization from which a server is passed over; with all servers there, sessions are refused
-)
+LOAD_CAP = 0.75  # utilization from which a server is passed over; if all are at it, sessions are refused
 MOVE_ABOVE = 0.9  # utilization from which sessions are moved off: it may pass 1 before the next report
 MOVE_DOWN_TO = 0.7  # a little under the load cap, so that the server is not at the cap again at once
 HUNG_DELAY = SECOND // 2  # a message delay from here on means a server that hangs, not one that is full
@@ -186,11 +182,12 @@
     """Returns the probability with which a cold server admits a session in a window.
 
     `share` is this balancer's budget for the window in sessions, from 0 to 1; N is the sum of the shares
-    of all balancers. The server fails above N + 2 sqrt(N) + 2 sessions in a window. All balancers draw
-    independently. If each admitted a session with the probability `share`, the sum would vary like a
-    Poisson distribution for small shares, and would exceed that limit too often; so the probability is
-    reduced to the fraction `least` of a small share. The sum varies less the closer the draws are to
-    certainty, and not at all with a share of 1. So the factor rises with the share, up to 1.
+    of all balancers. A cold server is taken to fail with more than N + 2 sqrt(N) + 2 sessions in a window
+    (see lab/cold.py). All balancers draw independently. If each admitted a session with the probability
+    `share`, the sum would vary like a Poisson distribution for small shares, and would exceed that limit
+    too often; so the probability is reduced to the fraction `least` of a small share. The sum varies less
+    the closer the draws are to certainty, and not at all with a share of 1. So the factor rises with the
+    share, up to 1.
     """
     total = max(share * replicas, 1)
     least = max(
@@ -200,7 +197,7 @@
 
 
 class Balancer:
-    """The decisions of one balancer process, see the module's docstring."""
+    """The decisions of one balancer, see the module's docstring."""
 
     def __init__(self, seed: int, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -288,7 +285,7 @@
                 deployment.list_poll_within / 20 * 2 ** min(self.list_failures, 3), self.list_request_spread
             )
             # What the list service pushes counts as received by this balancer even while it has no watch
-            # open. So that a drain is not noticed too late, the delay is a part of its grace time at most.
+            # open. So that a drain is not noticed too late, the delay is at most a quarter of its grace time.
             max_delay = min(
                 max_delay,
                 MAX_LIST_REQUEST_INTERVAL - event.call_duration,
@@ -783,7 +780,7 @@
         budget = self.remaining_budget(
             server, ratio * self.warm_capacity_share(server.kind, warm_loads), window
         )
-        return budget >= load or (budget > 0 and self.admits_by_chance(server, budget, load, window, ties))
+        return budget >= load or (budget > 0 and self.admits_by_draw(server, budget, load, window, ties))
 
     def draw_candidate(self, ties: Ties) -> Server | Group:
         """Draws a kind of machine by its share of the sessions, then one of that kind by `draw_weight`.
@@ -1024,7 +1021,7 @@
         mean = warm_loads.mean()
         if not mean:
             return fair
-        # The maximum with `fair` counts the balancers that hold more by chance, but not those that hold
+        # The maximum with `fair` counts the balancers that happen to hold more, but not those that hold
         # less; over many balancers the excess adds up, so one session over all warm servers is subtracted.
         held = mean - self.mean_load / warm_loads.server_count if deployment.quota_connections else mean
         return max(
@@ -1063,7 +1060,7 @@
             del sent[0]
         return budget - sum(load for _, load in sent)
 
-    def admits_by_chance(self, server: Server, budget: float, load: float, window: int, ties: Ties) -> bool:
+    def admits_by_draw(self, server: Server, budget: float, load: float, window: int, ties: Ties) -> bool:
         """Whether a budget below the session's load admits it, by one random draw per server and window.
 
         Many balancers with such budgets would overload the server together if each of them sent one
@@ -1140,9 +1137,9 @@
         Retries would otherwise keep down what all set-ups need, such as a shared store. Throttling starts
         when half of the last FLEET_SETUPS_LIMIT set-ups were late or failed, on a third of the servers (of
         FLEET_SETUPS_LIMIT servers in a larger fleet) and in the own zone too; otherwise the fault is that of
-        some servers, or of zones that are cut off. Unreachable servers don't count. It ends when all of the
-        last FLEET_SETUPS_LIMIT set-ups were in time. The limit grows by one with each set-up
-        in time, falls by one with each late one and is halved, with a pause, by each failure.
+        some servers, or of zones that are cut off. Set-ups to unreachable servers don't count. It ends when
+        all of the last FLEET_SETUPS_LIMIT set-ups were in time. The limit grows by one with each set-up in
+        time, falls by one with each late one and is halved, with a pause, by each failure.
         """
         self.fleet_setups.append((server, in_time))
         failures = [one for one, ok in self.fleet_setups if not ok]
@@ -1210,9 +1207,9 @@
         """Whether this load would take the load sum over the cap learned from slow messages on this server.
 
         The paper behind the placement rule (docs/design.md) has a maximum load for a server. Here it is
-        learned: the smallest of the last load sums at which the server's messages were slow, times
-        LEARNED_CAP_FACTOR. A slow machine would otherwise be filled again as soon as it has recovered, over
-        and over. What was learned is forgotten after FADE_TIME.
+        learned: the smallest of the last LEARNED_CAPS_LIMIT load sums at which the server's messages were
+        slow, times LEARNED_CAP_FACTOR. A slow machine would otherwise be filled again as soon as it has
+        recovered, over and over. What was learned is forgotten after FADE_TIME.
         """
         learned = server.learned_caps
         while learned and learned[0][0] < self.now - FADE_TIME:
@@ -1241,7 +1238,7 @@
         self.full_fraction = full / (observed + 1)
 
     def sheds_session(self) -> bool:
-        """Load shedding: whether to refuse a session by chance, as most observed servers are full.
+        """Load shedding: whether to refuse a session at random, as most observed servers are full.
 
         All balancers would otherwise fill the few good servers of a full fleet at once. The probability
         rises from 0 with half of the servers full to 1 with three quarters, times the part of the dials that
@@ -1347,7 +1344,7 @@
                 self.actions.append(Move(session_id))
         if not moved and order and self.uniform(0, self.load_of(order[0][1])) < remaining:
             # A few heavy sessions, none of which fits the share, would stay on a slow server for good. One
-            # goes by chance, so that the share is kept on average over many balancers.
+            # goes with the probability that keeps the share on average over many balancers.
             moved = 1
             self.actions.append(Move(order[0][0]))
         if moved:
--- a/thymedeck/policy/server.py
+++ b/thymedeck/policy/server.py
@@ -42,7 +42,7 @@
     def __init__(self, entry: ServerEntry) -> None:
         self.index = entry.server
         self.update_from(entry)
-        self.group: Group | None = None  # of idle servers; None while the server is active
+        self.group: Group | None = None  # of idle servers; None while the server is active or not ready
         self.group_position = 0  # in the members of that group
         self.ready_position = -1  # in the list of ready servers; -1: not ready
         self.session_count = 0  # sessions whose load counts here, those being dialled included
@@ -69,7 +69,7 @@
 
     def reset_history(self) -> None:
         """Forgets what was observed before a restart of the server; open sessions are kept."""
-        # Random number from 0 to 1 for one window, see `Balancer.admits_by_chance`: a session that the
+        # Random number from 0 to 1 for one window, see `Balancer.admits_by_draw`: a session that the
         # remaining budget does not cover is admitted if its admission probability is above this number.
         self.admission_draw = 1.0
         self.draw_valid_until = 0
