--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
 """Players for scenario files: text files of events and of the actions that are expected of one balancer.
 
-`PolicyScenario` plays these lines on the decision module alone:
+`PolicyScenario` plays these lines on the placement policy alone:
 
     set KEY=VALUE ...        before the first event: changes the deployment (listener keys apply to all)
     T list KIND S:STATE ...  the server list; after further colons: z1 zone, c2 cell, b50 start time,
@@ -66,7 +66,7 @@
 
 
 def list_only_service() -> Service:
-    """A service that can only process server lists; it records what it logs and tells the policy."""
+    """A service that can only process server lists; records its log events and those passed to the policy."""
     service = object.__new__(Service)
     service.server_index, service.servers, service.pending_updates, service.loop_time_offset = {}, [], {}, 5
     service.zones, service.kinds = {"z": 0}, {"big": 0}
