--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -167,7 +167,10 @@
 
 
 def assert_all_applied_last(fleet: Fleet, healed: int) -> None:
-    """Within the bound, counted from its commit or from when the network healed."""
+    """Checks that all followers applied the last version within the bound after its commit or the healing.
+
+    If that version is invalid, no follower applies it, and the keepers must have logged a split fleet.
+    """
     assert fleet.consistency_violations() == []
     last = fleet.last_committed()
     (content,) = fleet.committed_contents[last]
@@ -200,7 +203,9 @@
     assert {node.applied_number for node in followers(fleet)} == {3}
     assert (fleet.committed_contents[3], fleet.consistency_violations()) == ({b"first"}, [])
     for name in fleet.followers:
-        (line,) = [log for _, at, log in fleet.logs if at == name and log.event == "configuration_refused"]
+        (line,) = [
+            log for _, source, log in fleet.logs if source == name and log.event == "configuration_refused"
+        ]
         expected = {"file": f"{name}.saved", "number": 2, "entry": "limits.sockets", "reason": "is under 1"}
         assert line.fields == expected
 
@@ -230,8 +235,8 @@
 
 def test_of_concurrent_changes_at_all_keepers_exactly_one_is_committed() -> None:
     fleet = fleet_with_first()
-    for at, name in enumerate(fleet.keepers):
-        fleet.submit(name, Change(at + 1, 1, b"change %d" % at))
+    for index, name in enumerate(fleet.keepers):
+        fleet.submit(name, Change(index + 1, 1, b"change %d" % index))
     fleet.run_until(fleet.now + 2 * IN_FORCE_WITHIN)
     outcomes = Counter(result.outcome for _, _, result in fleet.results[1:])
     assert outcomes == {Outcome.COMMITTED: 1, Outcome.CONFLICT: 3}
@@ -432,10 +437,10 @@
     """Four keepers that all started recovery ballots pre-empted one another for 15 s."""
     keeper = new_keeper()
     keeper.handle(0, Received("k0", Accept((1, 0), Version(1, b"x"))))
-    for at in range(1, 6):
-        now = at * SECOND * 9 // 10
-        keeper.handle(now, Received("k3", Prepare((1 + at, 3))))
-        assert keeper.state.promised_ballot == (1 + at, 3)
+    for number in range(1, 6):
+        now = number * SECOND * 9 // 10
+        keeper.handle(now, Received("k3", Prepare((1 + number, 3))))
+        assert keeper.state.promised_ballot == (1 + number, 3)
     assert sent(keeper.handle(now + SECOND * 9 // 10, Tick()), Prepare) == []
     assert sent(keeper.handle(now + SECOND * 3 // 2, Tick()), Prepare)
 
@@ -470,14 +475,14 @@
 def test_a_withdrawal_skips_a_version_that_was_refused_as_well() -> None:
     keeper = new_keeper()
     last = Version(2, b"bad", b"first")
-    for at in range(3):
+    for index in range(3):
         assert keeper.rollback_content_after(last) == b"bad"
-        keeper.handle(1 + at, Received(f"b{at}", Poll(1, 1, 2)))
+        keeper.handle(1 + index, Received(f"b{index}", Poll(1, 1, 2)))
     assert keeper.rollback_content_after(last) == b"first"
 
 
 def test_an_ordinary_change_is_applied_without_waiting_for_a_timer() -> None:
-    """Four messages between keepers and one to the followers, each at most 40 ms late."""
+    """Five messages between keepers, from Prepare to Committed, and one to followers: 40 ms each at most."""
     fleet = fleet_with_first()
     submitted_at = fleet.now
     fleet.submit(fleet.keepers[0], Change(7, 1, b"two"))
@@ -633,7 +638,7 @@
 
 def settings_file(folder: Path, **changed: object) -> str:
     path = folder / "configuration.toml"
-    lines = {"keepers": [f"127.0.0.1:{7951 + at}" for at in range(4)], "saved": "last"} | changed
+    lines = {"keepers": [f"127.0.0.1:{7951 + index}" for index in range(4)], "saved": "last"} | changed
     path.write_text("\n".join(f"{name} = {json.dumps(value)}" for name, value in lines.items()))
     return str(path)
 
--- a/tests/test_peers_start.py
+++ b/tests/test_peers_start.py
@@ -112,7 +112,7 @@
 
 
 def test_decisions_are_the_same_with_peers_on_and_off() -> None:
-    """Compares every event and action of the decisions, with its time, in a run with drains and a death."""
+    """Compares all events and actions of the placement logic and their times; with drains and a death."""
     scenario = read_scenario(str(ROOT / "tests" / "scenarios" / "lab" / "calm.toml"))
     scenario.agreement_timeout = 0
     recordings = []
@@ -159,4 +159,4 @@
         testbed.run(SECOND // 20)
     assert transport.dropped["flood"] or any(e["event"] == "peers_dropped" for e in testbed.log("b0"))
     assert transport.membership.detection_paused_until > testbed.loop.now()
-    assert max(sum(at - SECOND < one <= at for one in reads) for at in reads[::50]) <= 500 + 40
+    assert max(sum(end - SECOND < at <= end for at in reads) for end in reads[::50]) <= 500 + 40
--- a/thymedeck/configuration/follower.py
+++ b/thymedeck/configuration/follower.py
@@ -55,7 +55,9 @@
         self.failed_polls = 0  # consecutive
         self.round_started_at = now  # first poll of the current round through all keepers
         self.next_poll_at = now + self.rng.randrange(parameters.ask_every)
-        self.fresh_at = now  # last time at which the applied version was known to be the last committed one
+        # Send time of the last poll that showed no newer version than the applied or refused one. At first
+        # the start, from which the time without an answer counts.
+        self.fresh_at = now
         self.is_stale = False  # as last logged
 
     @property
@@ -96,7 +98,7 @@
         actions.append(Send(self.keepers[0], poll))
 
     def switch_keeper(self, now: int) -> None:
-        """Polls the next keeper at once; a round through all of them takes at least one poll interval."""
+        """Polls the next keeper at once; after a round of all keepers, when the poll interval is over."""
         self.pending_nonce = 0
         self.keepers.append(self.keepers.pop(0))
         if not self.failed_polls % len(self.keepers):
--- a/thymedeck/configuration/keeper.py
+++ b/thymedeck/configuration/keeper.py
@@ -5,9 +5,10 @@
 version is committed once a majority has stored it. Only the last version is ever applied, so there is no log.
 
 A read quorum of n - majority + 1 keepers intersects every majority (Howard and others, *Flexible Paxos*,
-2016). A keeper that had such a quorum of answers to a read, none of which showed an accepted version beyond
-its own committed one, knew the last committed version when it sent that read. It is fresh for `fresh_for`
-from then on, and sends versions to followers only while it is fresh.
+2016). An answer to a read counts only if neither keeper has accepted a version beyond the committed one that
+the reader knows. A keeper that has a read quorum of such answers, itself included, knew the last committed
+version when it sent that read. It is fresh for `fresh_for` from then on, and sends versions to followers only
+while it is fresh.
 """
 
 import random
@@ -52,7 +53,7 @@
 RECOVERY_DELAY = SECOND  # after this an accepted version not known to be committed is proposed again
 RECOVERY_JITTER = SECOND // 2  # random addition to it, so that not all keepers recover at once
 MAX_PENDING_READS = 4  # answers to older reads are ignored
-FORGET_FOLLOWER_AFTER = 2 * 3600 * SECOND
+FORGET_FOLLOWER_AFTER = 2 * 3600 * SECOND  # without a report of it
 
 
 class PendingChange(Struct):
@@ -111,7 +112,8 @@
         self.pending_changes: list[PendingChange] = []
         self.next_ballot_at = now  # backoff: no ballot before this
         self.failed_ballots = 0  # consecutive
-        self.in_doubt_number = 0  # a version that may be committed; no higher than the committed one: none
+        # The number of an accepted version that may be committed; none if not above the committed number.
+        self.in_doubt_number = 0
         self.recover_at = now
         self.pending_reads: dict[int, tuple[int, set[str]]] = {}  # nonce to send time and responders
         self.next_read_at = now
@@ -263,7 +265,10 @@
         return Version(last.number + 1, change.content, rollback_content, change.withdrawn_number)
 
     def rollback_content_after(self, last: Version) -> bytes:
-        """The content that is restored if the version after `last` is withdrawn."""
+        """The content that is restored if the version after `last` is withdrawn.
+
+        If followers have refused `last` too, this is the content before it.
+        """
         refusals = sum(report.refused_number == last.number for report in self.all_followers.values())
         return last.rollback_content if refusals >= self.parameters.refusers else last.content
 
@@ -341,7 +346,7 @@
         self.recover_at = now + RECOVERY_DELAY + self.rng.randrange(RECOVERY_JITTER)
 
     def learn(self, now: int, version: Version) -> None:
-        """Stores a committed version and pushes it to the followers that poll this keeper."""
+        """Stores a committed version; a fresh keeper pushes it to the followers that poll it."""
         if version.number <= self.committed_version.number:
             return
         self.save(committed_version=version)
--- a/thymedeck/configuration/messages.py
+++ b/thymedeck/configuration/messages.py
@@ -119,7 +119,7 @@
 class Change(NamedTuple):
     """An operator's change, a compare-and-set on version `base` so that it never undoes another change."""
 
-    token: int
+    token: int  # returned in the ChangeResult
     base: int
     content: bytes
 
@@ -162,7 +162,8 @@
     INVALID = 1  # validation failed; never proposed
     CONFLICT = 2  # `base` is not the last version
     NOT_COMMITTED = 3  # no majority was reached, and this change can no longer be committed
-    UNKNOWN = 4  # no majority answered in time; the change may still be committed
+    # The change may be committed or not: no majority answered in time, or a later version is committed.
+    UNKNOWN = 4
 
 
 class ChangeResult(NamedTuple):
@@ -195,6 +196,6 @@
     ask_every: int = SECOND  # interval at which a follower polls one keeper
     answer_within: int = SECOND * 3 // 10  # timeout of a poll
     read_every: int = SECOND // 2  # interval at which a keeper reads from all other keepers
-    fresh_for: int = SECOND * 3 // 2  # how long a keeper may serve versions after a quorum read (a lease)
-    give_up_after: int = 10 * SECOND  # deadline of a change
+    fresh_for: int = SECOND * 3 // 2  # how long a keeper may send versions after it sent a quorum read
+    give_up_after: int = 10 * SECOND  # after this a change that is not committed is given up
     refusers: int = 3  # followers that have to refuse a version before it is withdrawn
--- a/thymedeck/lab/configuration_fleet.py
+++ b/thymedeck/lab/configuration_fleet.py
@@ -216,7 +216,7 @@
             self.committed_at.setdefault(version.number, self.now)
 
     def record_majority(self, state: PersistentState) -> None:
-        """A version is committed once a majority has it on disk by one ballot, known to a keeper or not."""
+        """A version is committed once a majority has stored it in one ballot, even if no keeper knows yet."""
         disks = [self.nodes[name].disk or PersistentState() for name in self.keepers]
         if sum(disk.accepted_ballot == state.accepted_ballot for disk in disks) > len(disks) // 2:
             self.record_committed(state.accepted_version)
--- a/thymedeck/peers/counts_table.py
+++ b/thymedeck/peers/counts_table.py
@@ -16,7 +16,10 @@
 
 
 class FleetTotals(Struct, frozen=True):
-    """Totals with their coverage: `covered` of `expected` balancers are included."""
+    """Totals over `covered` of `expected` balancers.
+
+    They always come with their coverage, so that partial totals are not taken for those of the whole fleet.
+    """
 
     by_kind: dict[str, int]
     by_server: dict[int, int]
--- a/thymedeck/peers/limits.py
+++ b/thymedeck/peers/limits.py
@@ -1,4 +1,7 @@
-"""Rate limits over a sliding window and a replay filter. No I/O, no clock: the caller passes the time."""
+"""A rate limit over a sliding window, and a replay filter. No I/O, no clock: the caller passes the time.
+
+A limit holds in every window of its length, whatever the size of the fleet.
+"""
 
 from collections import deque
 
@@ -20,6 +23,7 @@
         return self.limit - self.total
 
     def try_take(self, now: int, amount: int) -> bool:
+        """Whether the amount is within the limit; if so, records it."""
         if self.remaining(now) < amount:
             return False
         self.entries.append((now, amount))
--- a/thymedeck/peers/liveness.py
+++ b/thymedeck/peers/liveness.py
@@ -26,7 +26,7 @@
 
 
 def verify_link(link: bytes, steps: int, earlier: bytes) -> bool:
-    """Whether the link hashes to the earlier one in so many steps."""
+    """Whether the link, hashed `steps` times, gives the earlier one."""
     for _ in range(steps):
         link = next_digest(link)
     return link == earlier
@@ -56,7 +56,10 @@
 
 
 def steps_ahead(last_byte: int, number: int) -> int:
-    """How far the link whose number ends in `last_byte` is ahead of `number`; 0 if it is not."""
+    """How far the link whose number ends in `last_byte` is ahead of `number`.
+
+    0 if it is not ahead, or by more than MAX_STEPS; such a link is taken for an old one.
+    """
     steps = (last_byte - number) % 256
     return steps if steps <= MAX_STEPS else 0
 
--- a/thymedeck/peers/membership.py
+++ b/thymedeck/peers/membership.py
@@ -54,35 +54,38 @@
 TICK = SECOND // 10
 STALL_THRESHOLD = SECOND // 2  # a tick that is this late shows that this process was stalled
 DETECTION_PAUSE = 2 * SECOND  # after a stall or a flood: failed probes don't count, no peer is declared dead
-PROCESS_START_MS = 100  # processes of one name that start this far apart have different incarnations
-PROCESS_SPAN = 100_000  # incarnations of one process, of which each refutation takes the next
+PROCESS_START_MS = 100  # processes of one name that start at least this far apart get different incarnations
+PROCESS_SPAN = 100_000  # incarnations reserved for one process; each refutation takes the next one
 REFUTE_INTERVAL = SECOND
 INDIRECT_PROBES = 3  # peers asked for an indirect probe
 FAILURES_ALONE = 4  # failed probes required where nobody else suspects the peer; one where others do
 MIN_SUSPECTERS = 2  # other peers that have to suspect it for their suspicions to count
-# Within the suspicion timeout a rumour has to reach the suspect, and its proof to come back.
+# Times gossip_rounds(): within the timeout a rumour has to reach the suspect, and its proof to come back.
 SUSPICION_TIMEOUT_PER_ROUND = SECOND * 3 // 20
 # When a rumour is checked by a probe, as parts of the suspicion timeout: by then most refutations have come.
 RUMOUR_PROBE_FROM, RUMOUR_PROBE_TO = 0.25, 0.5
-# After so many deaths within this time, this balancer itself is probably the one that is cut off, and the
-# others consider it dead: it then releases a liveness proof without being asked for one.
+# After more than MANY_DEATHS within this time, this balancer itself was probably cut off, and the others
+# consider it dead: it then releases a liveness proof without being asked, at most once per
+# SELF_PROOF_INTERVAL.
 MANY_DEATHS = 3
 MANY_DEATHS_WITHIN = 5 * SECOND
 SELF_PROOF_INTERVAL = 10 * SECOND
 NAME_HELD_FOR = 3 * SECOND  # a peer heard from within this time keeps its name against a newcomer
-LOSS_SAMPLES = 16  # recent probes from which the rate of loss is estimated
-LOSS_WEIGHT = 16  # further failed probes required, times the rate of loss
-# A peer that sends so many wrong suspicions or invalid liveness proofs within this time is ignored a while.
+LOSS_SAMPLES = 16  # recent answered probes from which the rate of loss is estimated
+LOSS_WEIGHT = 16  # multiplied by the rate of loss: failed probes that are required in addition
+# The claims of a peer are ignored for IGNORE_FOR once it has sent MAX_FALSE_CLAIMS wrong suspicions or
+# invalid liveness proofs within FALSE_CLAIMS_WITHIN.
 MAX_FALSE_CLAIMS = 6
 FALSE_CLAIMS_WITHIN = 10 * SECOND
 IGNORE_FOR = 60 * SECOND
 RUMOUR_PROBES_PER_SECOND = 10
-MEETING_SPREAD_PER_PEER = SECOND // 20  # random delay before a new balancer is contacted, times the peers
-REPROBE_SPREAD_PER_PEER = SECOND // 200  # random delay between probes of one that failed, times the peers
-FORGET_DEAD_AFTER = 600 * SECOND  # a dead peer is probed now and then until this
+# Longest random delays, per known peer: before a new balancer is contacted, before a suspect is probed again.
+MEETING_SPREAD_PER_PEER = SECOND // 20
+REPROBE_SPREAD_PER_PEER = SECOND // 200
+FORGET_DEAD_AFTER = 600 * SECOND  # until then a dead peer is still probed now and then
 JOIN_INTERVAL = SECOND
 EAGER_JOIN_FOR = 10 * SECOND  # after the start, the join list is contacted even if some peers are known
-REJOIN_INTERVAL = 30 * SECOND  # for addresses of the join list that no known peer has
+REJOIN_INTERVAL = 30 * SECOND  # for addresses of the join list at which no peer is known to be alive
 MAX_CANDIDATE_PINGS = 4
 TYPICAL_DATAGRAM_BYTES = 200  # rumours are added up to this size
 RUMOUR_REPEATS = 3  # times that a balancer sends a rumour; several receivers verify it and send it in turn
@@ -94,13 +97,14 @@
 URGENT_PER_SECOND = 3
 RELAYED_PROOF_BYTES = 130  # of a datagram, for liveness proofs that are relayed
 URGENT_PROOF_BYTES = 390  # the same of an urgent datagram
-SUSPECT_REPEATS_PER_ROUND = 2  # of gossip: few peers find a suspicion by themselves, and all wait for it
-MIN_RUMOUR_BYTES = 50  # for rumours, even in a datagram above the typical size
+# A suspicion is sent this many times gossip_rounds(): few peers find it by themselves, and all wait for it.
+SUSPECT_REPEATS_PER_ROUND = 2
+MIN_RUMOUR_BYTES = 50  # left to rumours even in a datagram above the typical size
 MAX_KINDS = 4  # kinds of machine in this balancer's own counts
 MAX_COUNTS_BYTES = 900  # leaves room for the longest names in the same datagram
 COUNTS_MIN_INTERVAL = SECOND  # between counts sent to the same peer
 COUNTS_REPEAT_INTERVAL = 10 * SECOND  # unchanged counts are sent again after this: the last may be lost
-# Parts of the send limit. The counts leave this much of it to probes and answers:
+# The reserves are fractions of the send limit. The counts leave this much of it to probes and answers:
 COUNTS_RESERVE = 0.2
 COUNTS_RESERVE_WHEN_BUSY = 0.85  # while there are candidates, or more suspects than MANY_SUSPECTS
 MANY_SUSPECTS = 3
@@ -111,8 +115,8 @@
 MAX_CHALLENGE_QUEUE_AGE = 3 * SECOND  # the same of an answer with a challenge, which no probe waits for
 MAX_SEND_QUEUE = 512
 MAX_CANDIDATES = 256
-MAX_MESSAGES_PER_PEER = 40  # received in a second
-UNKNOWN_SENDER_SHARE = 0.4  # of the receive limit, for senders that are not peers
+MAX_MESSAGES_PER_PEER = 40  # accepted from one peer in a second
+UNKNOWN_SENDER_SHARE = 0.4  # of the receive limit, for pings of senders that have yet to prove their address
 DAY_MS = 86_400_000  # an incarnation more than a day ahead of the local clock is rejected
 LOG_INTERVAL = 10 * SECOND
 NAMES_PER_LOG_LINE = 3
@@ -192,7 +196,7 @@
         self.start_unix_ms = unix_ms
         self.incarnation = self.incarnation_at(unix_ms)  # a later process gets a higher one
         self.refuted_at = now - REFUTE_INTERVAL
-        self.counter = 0
+        self.counter = 0  # number of the last message sent
         rng = random.Random(seed)
         self.uniform = rng.uniform
         self.sample = rng.sample
@@ -202,6 +206,7 @@
         self.chain = HashChain(self.randbytes(32))
         self.chain_key = chain_key(name, self.incarnation // PROCESS_SPAN)
         self.self_proof_at = now - SELF_PROOF_INTERVAL
+        # When a rumour about an earlier process last made this balancer take a higher process number.
         self.process_raised_at = now - IGNORE_FOR
         self.now = now
         self.actions: list[Action] = []
@@ -221,6 +226,7 @@
         self.urgent_limit = SlidingWindow(URGENT_PER_SECOND)
         self.ignored_until: dict[str, int] = {}  # by peer
         self.rumour_probe_limit = SlidingWindow(RUMOUR_PROBES_PER_SECOND)
+        # For recent answered probes: whether the answer came only after indirect probes were requested.
         self.probe_losses: deque[bool] = deque(maxlen=LOSS_SAMPLES)
         self.send_queue: deque[tuple[int, str, MessageKind, bytes, dict]] = deque()
         self.send_limit = SlidingWindow(settings.send_most)
@@ -232,8 +238,8 @@
         self.join_attempts = 0
         self.next_rejoin_at = now + REJOIN_INTERVAL
         self.is_draining = False
-        self.newly_alive: list[str] = []  # this and the next: since the last line of the log
-        self.newly_dead: list[str] = []
+        self.newly_alive: list[str] = []  # since log_changes() last wrote a line
+        self.newly_dead: list[str] = []  # since then too
         self.changes_logged_at = now
         self.logged_at: dict[str, int] = {}  # by kind of line
         self.dropped: Counter[str] = Counter()  # messages, proofs and rumours that were not used, by reason
@@ -327,9 +333,10 @@
     def transmit_now(
         self, address: str, kind: MessageKind, token: bytes, fields: dict, reserve: float = 0.0
     ) -> bool:
-        """Sends now or not at all; whether it was sent.
+        """Sends at once or not at all, and returns whether it was sent.
 
-        Queued answers go first. A probe is never delayed, as its answer is timed from here.
+        Nothing is sent while answers are queued: they go first. The message is not queued, as the answer to a
+        probe is timed from the moment of sending.
         """
         available = self.available_bytes() - int(reserve * self.settings.send_most)
         return not self.send_queue and self.transmit(address, kind, token, fields, available)
@@ -423,7 +430,10 @@
         return {"issued_token": self.token_for(address), "address": self.settings.advertise}
 
     def send_urgent(self, is_own: bool = False) -> None:
-        """Sends queued suspicions and liveness proofs to a few peers at once, ahead of the queued answers."""
+        """Sends queued suspicions and liveness proofs to a few peers at once, ahead of the queued answers.
+
+        Peers for which they are news do the same. Only its own proof (`is_own`) is not rate-limited.
+        """
         others = [
             other for other in self.peers.values() if not (other.is_dead or other.is_suspect) and other.token
         ]
@@ -575,7 +585,7 @@
         return not has_moved and message.incarnation // PROCESS_SPAN <= peer.incarnation // PROCESS_SPAN
 
     def on_unknown_sender(self, known: Peer | None, message: Message) -> None:
-        """A message of a new balancer, of a later process of a known one, or of another address."""
+        """Handles a message from a new balancer, a later process of a known one, or a changed address."""
         address = message.address
         if not is_address(address):
             self.count_dropped("no proof")
@@ -801,10 +811,15 @@
         return SUSPICION_TIMEOUT_PER_ROUND * self.gossip_rounds()
 
     def contact_delay(self, name: str) -> int:
-        """The balancer whose name sorts first contacts the other; the other only if that didn't happen."""
+        """The delay before this balancer contacts the one of this name.
+
+        Of the two, the one whose name sorts first goes first; the other waits a second longer, so that it
+        only makes contact if that failed.
+        """
         return int(self.uniform(0, SECOND / 2)) + (0 if self.name < name else SECOND)
 
     def schedule_contact(self, peer: Peer) -> None:
+        """Schedules a probe of a dead peer that somebody reports as alive."""
         if peer.probe_due_at < 0 and not peer.nonce:
             peer.probe_due_at = self.now + self.contact_delay(peer.name)
             self.probing[peer.name] = peer
@@ -918,7 +933,7 @@
         self.log_changes()
 
     def on_stall(self, late_by: int) -> None:
-        """Restarts all probes, so that no peer is declared dead for the time in which this process hung."""
+        """Cancels all probes and suspicions, so that no peer is declared dead because this process hung."""
         self.detection_paused_until = self.now + DETECTION_PAUSE
         for peer in self.probing.values():
             peer.nonce = 0
@@ -939,7 +954,7 @@
         )
 
     def probe_next(self) -> None:
-        """Probes one alive peer and one dead one, and forgets those that have been dead for long."""
+        """Probes at most one alive peer and one dead one, and forgets peers that have been dead for long."""
         for peer in [
             dead
             for dead in self.peers.values()
@@ -952,9 +967,8 @@
                 for peer in self.peers.values()
                 if peer.is_dead is is_dead and not peer.nonce and peer.probe_due_at < 0
             ]
-            # The fleet together probes each peer about once a period. With more probes, the answers of a peer
-            # that comes back would be lost in them, and so would, while the fleet is still meeting, those few
-            # peers that all have met first.
+            # All balancers together probe each peer about once a period. More probes would flood a peer that
+            # comes back and, while the balancers are still meeting, the few peers that all of them met first.
             fleet_size = len(self.peers) + (0 if is_dead else len(self.candidates))
             if eligible and self.uniform(0, fleet_size) < len(eligible):
                 self.start_probe(self.pick_round_robin(eligible))
@@ -1036,7 +1050,10 @@
         self.evaluate_suspicion(peer)
 
     def evaluate_suspicion(self, peer: Peer) -> None:
-        """Probes a suspect again if it has no probe in flight, or declares it dead after the timeout."""
+        """For a suspect without a probe in flight: schedules another probe, or declares it dead.
+
+        It is dead once enough probes have failed and the suspicion timeout is over.
+        """
         if peer.failed_probes < self.required_failures(peer):
             self.schedule_probe(peer, len(self.peers) * REPROBE_SPREAD_PER_PEER)
         elif (
--- a/thymedeck/peers/messages.py
+++ b/thymedeck/peers/messages.py
@@ -32,12 +32,12 @@
 class RumourStatus(IntEnum):
     ALIVE = 0
     SUSPECT = 1  # the sender's own probes failed
-    DEAD = 2  # declared by the sender itself
+    DEAD = 2  # declared dead by the sender; or the sender itself, when it shuts down
     RELAYED_SUSPECT = 3  # a suspicion relayed for another balancer; it doesn't count as the sender's own
 
 
 class Rumour(msgspec.Struct, array_like=True, frozen=True):
-    """A claim about another balancer. It is never believed as it stands; it only leads to a probe."""
+    """A claim about a balancer. It is never believed as it stands: receivers verify it themselves."""
 
     status: int
     name: str
@@ -52,7 +52,7 @@
     by_kind: list[tuple[str, int]] = []  # established sessions, by kind of machine
     by_server: list[tuple[int, int]] = []  # by server (see `server_key`), those with most sessions first
     unlisted: int = 0  # sessions on servers for which `by_server` had no room
-    dials: int = 0  # in the last window in which a cold server may fail
+    dials: int = 0  # within `overload_window`: too many in that time make a cold server fail
     draining: bool = False  # the balancer was told to stop
     list_version: int = -1
 
@@ -65,7 +65,7 @@
     name: str
     incarnation: int
     counter: int
-    # The token that the receiver last issued: proves that the sender is reached at its address.
+    # The token that the receiver last issued: proves that the sender receives datagrams at its address.
     token: bytes = b""
     issued_token: bytes = b""  # for the receiver to send back
     address: str = ""
--- a/thymedeck/peers/settings.py
+++ b/thymedeck/peers/settings.py
@@ -38,7 +38,8 @@
     advertise: str = ""  # the address at which other balancers reach `listen`, if it differs
     period: str = "1 s"  # one peer is probed in each period
     answer_within: str = "300 ms"
-    notice_within: str = "5 s"  # in which a dead peer is to be detected
+    # The time in which a dead peer is to be detected. It only limits `period` and `forget_after`.
+    notice_within: str = "5 s"
     forget_after: str = "90 s"  # age at which counts that were not renewed are dropped
     send_most: str = "2 kB/s"
     take_most: str = "500 /s"
--- a/thymedeck/peers/transport.py
+++ b/thymedeck/peers/transport.py
@@ -30,7 +30,7 @@
 SECOND = 10_000
 COUNT_INTERVAL = SECOND
 MAX_READS_PER_TURN = 32  # datagrams read before the loop serves its other sockets
-# Without reading, once the rate limit is reached; the socket buffers or loses what comes meanwhile.
+# How long reading pauses at the rate limit; the socket buffers or loses what arrives in this time.
 FLOOD_PAUSE = SECOND // 10
 
 
@@ -52,7 +52,8 @@
         self.loop.free_descriptors -= 1
         self.receive_limit = SlidingWindow(settings.take_most)
         self.dropped: Counter[str] = Counter()  # datagrams, by reason
-        self.dial_counts: deque[tuple[int, int]] = deque()  # time of a count and dials made until then
+        # For each gathering of counts within the overload window: its time, and the dials made until then.
+        self.dial_counts: deque[tuple[int, int]] = deque()
         self.is_stopping = False
         self.next_report_at = 0
         self.loop.watch(self.sock, 0, READ, self)
