--- a/thymedeck/configuration/follower.py
+++ b/thymedeck/configuration/follower.py
@@ -40,7 +40,7 @@
         saved_version: Version,
         saved_file: str,
     ) -> None:
-        """`saved_version` was applied and saved by an earlier run; `saved_file` is named in the log only."""
+        """`saved_version` was validated, applied and saved by an earlier run; `saved_file` is only logged."""
         self.parameters = parameters
         self.validate = validate
         self.saved_file = saved_file
--- a/thymedeck/lab/configuration_scenarios.py
+++ b/thymedeck/lab/configuration_scenarios.py
@@ -88,6 +88,7 @@
             str(len(times)),
             f"{rate(fleet.followers, fleet.bytes_total, initial_bytes):.0f}",
             f"{max(fleet.bytes_peak[name] for name in fleet.followers):.0f}",
+            # Followers only send polls; with the answers, twice as many messages.
             f"{2 * rate(fleet.followers, fleet.messages_sent, initial_messages):.1f}",
             f"{rate(fleet.keepers, fleet.bytes_total, initial_bytes):.0f}",
             f"{rate(fleet.keepers, fleet.messages_sent, initial_messages):.0f}",
--- a/thymedeck/peers/membership.py
+++ b/thymedeck/peers/membership.py
@@ -79,7 +79,8 @@
 FALSE_CLAIMS_WITHIN = 10 * SECOND
 IGNORE_FOR = 60 * SECOND
 RUMOUR_PROBES_PER_SECOND = 10
-# Longest random delays, per known peer: before a new balancer is contacted, before a suspect is probed again.
+# Times the number of known peers, these are the longest random delays before a new balancer is contacted and
+# before a suspect is probed again.
 MEETING_SPREAD_PER_PEER = SECOND // 20
 REPROBE_SPREAD_PER_PEER = SECOND // 200
 FORGET_DEAD_AFTER = 600 * SECOND  # until then a dead peer is still probed now and then
