--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -126,13 +126,15 @@
         super().__init__(path)
         self.system = ManualClockSystem()
         self.service: Service | None = None
-        self.program_ends: dict[int, Connection] = {}  # the service's connection, by the id of the peer
+        self.service_connections: dict[
+            int, Connection
+        ] = {}  # the service's connection, by the id of the peer
 
     # Loop and clock
 
     def turn(self) -> None:
         if not self.service.loop.running:
-            self.close_program()  # the process has ended
+            self.close_service_sockets()  # the process has ended
             return
         self.service.loop.after(0, lambda: None)  # so that it does not wait
         self.service.loop.run_once()
@@ -170,7 +172,7 @@
 
     def on_first(self, whose: str, name: str = "") -> None:
         peers = self.clients if whose == "client" else self.dials
-        first = self.service.acceptor if whose == "door" else self.program_ends[id(peers[name])]
+        first = self.service.acceptor if whose == "door" else self.service_connections[id(peers[name])]
         self.service.loop.selector.first = first
 
     def on_full(self, what: str) -> None:
@@ -251,7 +253,7 @@
         assert not self.service.loop.running, "the service is still running"
         self.turn()
 
-    def close_program(self) -> None:
+    def close_service_sockets(self) -> None:
         """Closes the service's sockets, as the system does when a process exits."""
         self.service.loop.running = False
         for key in list(self.service.loop.selector.get_map().values()):
@@ -267,7 +269,7 @@
         finally:
             Connection.read = read
             if self.service is not None:
-                self.close_program()
+                self.close_service_sockets()
                 self.service.loop.selector.close()
 
     # Peers
@@ -275,7 +277,7 @@
     def connect(self) -> socket.socket:
         return socket.create_connection(self.address[:2], timeout=STEP_TIMEOUT_SECONDS)
 
-    def program_end_of(self, sock: socket.socket) -> Connection | None:
+    def service_connection_of(self, sock: socket.socket) -> Connection | None:
         for key in self.service.loop.selector.get_map().values():
             end = getattr(key.data, "sock", None)
             if isinstance(key.data, Connection) and self.peer_address(end) == sock.getsockname():
@@ -294,12 +296,12 @@
         if verb in ("opens", "connects", "knocks"):
             peer = self.clients[name] = SteppedConnection(self.connect(), self.turn_until)
             if verb != "knocks":
-                self.turn_until(lambda: self.program_end_of(peer.sock), "the client was not accepted")
-                self.program_ends[id(peer)] = self.program_end_of(peer.sock)
+                self.turn_until(lambda: self.service_connection_of(peer.sock), "the client was not accepted")
+                self.service_connections[id(peer)] = self.service_connection_of(peer.sock)
             if verb == "opens":
                 peer.perform("says", f"OPEN id{name} key{name} {text}")
         elif verb == "arrives":
-            self.wait_readable(self.program_ends[id(self.clients[name])])
+            self.wait_readable(self.service_connections[id(self.clients[name])])
         elif verb == "drains":
             server = self.dials[name].sock
             server.setblocking(False)
@@ -315,16 +317,16 @@
             self.turn_until(lambda: select.select(listeners, [], [], 0)[0], "no dial")
             sock = select.select(listeners, [], [], 0)[0][0].accept()[0]
             peer = self.dials[name] = SteppedConnection(sock, self.turn_until)
-            self.program_ends[id(peer)] = self.program_end_of(sock)
+            self.service_connections[id(peer)] = self.service_connection_of(sock)
         if verb in ("dialled", "reads"):
             line = self.dials[name].read_line()
             of = text if verb == "reads" else name
             assert line.startswith(f"OPEN id{of} key{of} "), line
             self.figures = line.split()[3]
         elif verb == "arrives":
-            self.wait_readable(self.program_ends[id(self.dials[name])])
+            self.wait_readable(self.service_connections[id(self.dials[name])])
         elif verb == "takes":
-            end = self.program_ends[id(self.dials[name])]
+            end = self.service_connections[id(self.dials[name])]
             throttled = PartialWriteBuffer()
             throttled.append(end.outbound.read_all())
             throttled.remaining = int(text)
--- a/tests/list_calls.py
+++ b/tests/list_calls.py
@@ -32,77 +32,77 @@
 ) -> VirtualTestbed:
     deployment = deployment_settings(balancers, ["m1"], ["a"])
     deployment["contract"]["ask_within_us"] = int(ask_within * 1e6)
-    stage = VirtualTestbed(seed, deployment)
-    stage.add_server("s0")
-    stage.list_service.update_servers(ListedServer("s0"))
-    stage.known_servers = [ListedServer("s0")]
+    testbed = VirtualTestbed(seed, deployment)
+    testbed.add_server("s0")
+    testbed.list_service.update_servers(ListedServer("s0"))
+    testbed.known_servers = [ListedServer("s0")]
     for at in range(balancers):
-        stage.start(f"b{at}")
-    stage.list_service.capacity, stage.list_service.refusal_cost = capacity, refusal_cost
-    return stage
+        testbed.start(f"b{at}")
+    testbed.list_service.capacity, testbed.list_service.refusal_cost = capacity, refusal_cost
+    return testbed
 
 
-def watching(stage: VirtualTestbed) -> VirtualTestbed:
+def watching(testbed: VirtualTestbed) -> VirtualTestbed:
     """Runs until all balancers watch the list."""
-    capacity, stage.list_service.capacity = stage.list_service.capacity, 0.0
-    assert stage.run_until(lambda: len(stage.list_service.watches) == len(stage.services), MAX_DURATION)
-    stage.list_service.capacity = capacity
-    return stage
+    capacity, testbed.list_service.capacity = testbed.list_service.capacity, 0.0
+    assert testbed.run_until(lambda: len(testbed.list_service.watches) == len(testbed.services), MAX_DURATION)
+    testbed.list_service.capacity = capacity
+    return testbed
 
 
-def restarted(stage: VirtualTestbed) -> None:
+def restarted(testbed: VirtualTestbed) -> None:
     """All start with an old list."""
 
 
-def reset(stage: VirtualTestbed) -> None:
+def reset(testbed: VirtualTestbed) -> None:
     """All watches are reset at once; the service keeps running."""
-    watching(stage).list_service.take_down()
-    stage.list_service.is_down = False
+    watching(testbed).list_service.take_down()
+    testbed.list_service.is_down = False
 
 
-def down(stage: VirtualTestbed) -> None:
+def down(testbed: VirtualTestbed) -> None:
     """The service resets all connections for eight seconds."""
-    watching(stage).list_service.take_down()
-    stage.run(8 * SECOND)
-    stage.list_service.is_down = False
+    watching(testbed).list_service.take_down()
+    testbed.run(8 * SECOND)
+    testbed.list_service.is_down = False
 
 
-def silent(stage: VirtualTestbed) -> None:
+def silent(testbed: VirtualTestbed) -> None:
     """All watches stay open but are never answered."""
-    for _, _, due in watching(stage).list_service.watches:
+    for _, _, due in watching(testbed).list_service.watches:
         due.cancel()
-    stage.list_service.watches.clear()
+    testbed.list_service.watches.clear()
 
 
-def moved(stage: VirtualTestbed) -> None:
+def moved(testbed: VirtualTestbed) -> None:
     """The service is down for eight seconds, then all balancers get its new address at once."""
-    down(stage)
-    for name in stage.services:
+    down(testbed)
+    for name in testbed.services:
         address = ("10.2.0.1", 20_000 + int(name[1:]))
-        stage.list_service.listen_for(name, address)
-        stage.services[name].list_client.switch_to(address)
+        testbed.list_service.listen_for(name, address)
+        testbed.services[name].list_client.switch_to(address)
 
 
 TROUBLES: tuple[Callable[[VirtualTestbed], None], ...] = (restarted, reset, down, silent, moved)
 
 
-def play(stage: VirtualTestbed, trouble: Callable[[VirtualTestbed], None]) -> FleetResult:
-    trouble(stage)
-    t0 = stage.now()
-    stage.list_service.change_server("s0", weight=2.0)
-    wanted = stage.list_service.version
+def play(testbed: VirtualTestbed, trouble: Callable[[VirtualTestbed], None]) -> FleetResult:
+    trouble(testbed)
+    t0 = testbed.now()
+    testbed.list_service.change_server("s0", weight=2.0)
+    wanted = testbed.list_service.version
     received_at: dict[str, int] = {}
 
     def all_have() -> bool:
-        for name, service in stage.services.items():
+        for name, service in testbed.services.items():
             if name not in received_at and service.list_client.version >= wanted:
-                received_at[name] = stage.now() - t0
-        return len(received_at) == len(stage.services)
+                received_at[name] = testbed.now() - t0
+        return len(received_at) == len(testbed.services)
 
     end = t0 + MAX_DURATION
-    while not all_have() and stage.now() < end:
-        stage.run(SECOND // 50)
-    entries = [one for one in stage.record.entries if one["at"] >= t0]
+    while not all_have() and testbed.now() < end:
+        testbed.run(SECOND // 50)
+    entries = [one for one in testbed.record.entries if one["at"] >= t0]
     calls = [one["at"] for one in entries if one["what"] == "list call" and not one["wait"]]
     refused = sum(one["what"] == "list answer" and one["status"] == 503 for one in entries)
     seconds = Counter((at - t0) // SECOND for at in calls)
--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -29,7 +29,7 @@
 )
 SILENCE_LIMIT = 2 * SECOND  # after a watch's wait, if that is later than 6 s; less the second for an answer
 QUICK_ANSWER = 9_500
-CONNECT_WITHIN = 10_000
+CONNECT_TIMEOUT = 10_000
 MARGIN = 300  # by the ways there and back, and by this play's looking every so often
 POLL_NS = 5_000_000
 DELAY_NS = 500_000
@@ -46,7 +46,7 @@
             "no http", "moved", *TRUNCATED)  # fmt: skip
 
 
-class ListServerEnd(Connection):
+class ListServerConnection(Connection):
     """The list service's end of a connection; answers or fails as the play says."""
 
     def __init__(self, play: "Play", sock: object) -> None:
@@ -95,12 +95,12 @@
         self.failure: tuple[str, float] | None = None
         self.listeners: dict[tuple[str, int], ListeningSocket] = {}
         self.server_loop = self.add_loop(EventLoop(self.log_exception, 4096, Machine(self.world, LIST[0])))
-        self.open_doors()
-        env = msgspec.json.decode(msgspec.json.encode(SETTINGS))
-        env |= {"discovery": discovery, "replicas_of_me": replicas}
-        env["contract"] |= {"ask_within_us": ask_within_us, "drain_grace_us": drain_grace_us}
+        self.open_listeners()
+        site_settings = msgspec.json.decode(msgspec.json.encode(SETTINGS))
+        site_settings |= {"discovery": discovery, "replicas_of_me": replicas}
+        site_settings["contract"] |= {"ask_within_us": ask_within_us, "drain_grace_us": drain_grace_us}
         config = {
-            "name": "b", "listen": "10.0.0.1:8000", "discovery": "10.2.0.1:8500", "settings": env,
+            "name": "b", "listen": "10.0.0.1:8000", "discovery": "10.2.0.1:8500", "settings": site_settings,
             "known": {"version": 1, "servers": []}, "limits": {"sockets": 256},
         }  # fmt: skip
         config = msgspec.json.decode(msgspec.json.encode(config), type=BalancerConfig)
@@ -111,9 +111,9 @@
             self.service = Service(
                 StartupConfig("", config, BALANCER, LIST, seed), Machine(self.world, BALANCER[0])
             )
-        patience = self.service.list_client.request_timeout(0)
-        self.answer_duration = min(answer_duration, patience * 4 // 5)
-        self.service.on_list = self.listed
+        timeout = self.service.list_client.request_timeout(0)
+        self.answer_duration = min(answer_duration, timeout * 4 // 5)
+        self.service.on_list = self.record_list
         self.add_loop(self.service.loop)
 
     def log_exception(self, error: BaseException) -> None:
@@ -124,14 +124,14 @@
         self.world.loops.append(loop)
         return loop
 
-    def open_doors(self) -> None:
+    def open_listeners(self) -> None:
         for address in (LIST, MOVED):
             if address not in self.listeners:
-                self.listeners[address] = ListeningSocket(self.server_loop, address, self.take)
+                self.listeners[address] = ListeningSocket(self.server_loop, address, self.accept_connection)
 
-    def take(self, sock: object, source: tuple[str, int]) -> None:
+    def accept_connection(self, sock: object, source: tuple[str, int]) -> None:
         self.world.delay_ns = DELAY_NS
-        ListServerEnd(self, sock)
+        ListServerConnection(self, sock)
 
     # Requests of the balancer
 
@@ -152,17 +152,17 @@
             for address in list(self.listeners):
                 self.listeners.pop(address).close()
         else:
-            self.open_doors()
+            self.open_listeners()
         if kind == "never up":
             self.world.isolated_hosts.add(LIST[0])
 
-    def listed(self, listing: object) -> None:
+    def record_list(self, server_list: object) -> None:
         if self.request_count > len(self.script) and not self.received_at:
             self.received_at = self.world.now()
 
     # Answers of the list service
 
-    def on_request(self, call: ListServerEnd, wait: int) -> None:
+    def on_request(self, call: ListServerConnection, wait: int) -> None:
         if self.failure is None:
             self.server_loop.after(self.answer_duration, lambda: call.answer(100 + self.request_count))
         else:
@@ -171,7 +171,7 @@
             healthy_time = 0 if kind == "503 late" else int(fraction * wait)
             self.server_loop.after(healthy_time, partial(self.fail, call, kind, wait, healthy_time))
 
-    def fail(self, call: ListServerEnd, kind: str, wait: int, healthy_time: int) -> None:
+    def fail(self, call: ListServerConnection, kind: str, wait: int, healthy_time: int) -> None:
         if not call.is_open:
             return
         if wait:
@@ -196,8 +196,8 @@
         elif kind == "no http":
             call.send(b"\0\0\0\r\n\r\n")
         elif kind == "moved":
-            follower = self.service.list_client
-            follower.switch_to(MOVED if follower.address == LIST else LIST)
+            list_client = self.service.list_client
+            list_client.switch_to(MOVED if list_client.address == LIST else LIST)
 
     # The time limit
 
@@ -209,7 +209,7 @@
         if not self.service.deployment.list_on_request:
             # Pushed lists count as delivered while no request is made: each step may take part of the grace.
             grace = self.service.deployment.drain_grace
-            max_delay = min(max_delay, CONNECT_WITHIN + grace // 2 + grace // 4 + MARGIN)
+            max_delay = min(max_delay, CONNECT_TIMEOUT + grace // 2 + grace // 4 + MARGIN)
         return self.available_since + max(
             max_delay + self.answer_duration, self.silence and self.silence + slow_answer
         )
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -78,7 +78,7 @@
 
 def test_a_list_without_changes_is_reported_too(service: Service) -> None:
     """Otherwise the policy would not learn that the list is available again after an outage."""
-    listing = decode_list(f'{{"version":1,"full":true,"servers":[{GOOD}]}}')
+    server_list = decode_list(f'{{"version":1,"full":true,"servers":[{GOOD}]}}')
     for _ in range(2):
-        service.apply_list(listing, interface.ListKind.WHOLE)
+        service.apply_list(server_list, interface.ListKind.WHOLE)
     assert [len(event.entries) for event in service.policy_events] == [1, 0]
