--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -126,9 +126,7 @@
         super().__init__(path)
         self.system = ManualClockSystem()
         self.service: Service | None = None
-        self.service_connections: dict[
-            int, Connection
-        ] = {}  # the service's connection, by the id of the peer
+        self.service_connections: dict[int, Connection] = {}  # by id() of the peer's connection
 
     # Loop and clock
 
--- a/tests/list_calls.py
+++ b/tests/list_calls.py
@@ -3,7 +3,8 @@
     python -m tests.list_calls [--balancers 200] [--capacity 28] [--refusal-cost 0.3] [--ask-within 10]
 
 All balancers watch the list; then one of the failures below happens, and at its end (`t0`) the list changes.
-Printed: how long after `t0` the balancers have the change, the requests without wait, and those refused.
+Printed: how long after `t0` the balancers have the change, the requests without wait (which cost the service
+capacity), and those refused.
 """
 
 import argparse
@@ -21,7 +22,7 @@
 
 
 class FleetResult(Struct):
-    received_at: list[int]  # sorted; after t0, in tenths of a millisecond
+    received_at: list[int]  # tenths of a millisecond after t0, of the balancers that got it; sorted
     calls: int  # requests without wait from t0 on
     refused: int
     peak: int  # most calls in one second
--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -24,13 +24,14 @@
 
 SECOND = 10_000
 DELIVERY_LIMIT = 6 * SECOND  # promised to the operators
-SLOWEST_ANSWER = (
-    19_000  # answer that the bound holds for, so that the rest of the 6 s is for what the balancer does
-)
-SILENCE_LIMIT = 2 * SECOND  # after a watch's wait, if that is later than 6 s; less the second for an answer
+# The slowest answer for which DELIVERY_LIMIT holds; the rest of the 6 s is for what the balancer does itself.
+SLOWEST_ANSWER = 19_000
+# A silent watch has this long after its wait, if that is later than DELIVERY_LIMIT. It includes a second for
+# the answer, so that an answer slower than QUICK_ANSWER extends it.
+SILENCE_LIMIT = 2 * SECOND
 QUICK_ANSWER = 9_500
 CONNECT_TIMEOUT = 10_000
-MARGIN = 300  # by the ways there and back, and by this play's looking every so often
+MARGIN = 300  # for the network delays and for the time between two polls of the play
 POLL_NS = 5_000_000
 DELAY_NS = 500_000
 SLOW_CONNECT_NS = 900_000_000
@@ -47,7 +48,7 @@
 
 
 class ListServerConnection(Connection):
-    """The list service's end of a connection; answers or fails as the play says."""
+    """The list service's end of a connection; answers or fails as scripted."""
 
     def __init__(self, play: "Play", sock: object) -> None:
         super().__init__(play.server_loop, sock)
@@ -81,8 +82,8 @@
 class Play:
     """One balancer; its first requests follow the script, all others are answered after `answer_duration`.
 
-    `available_since`: when the new list became available: the last scripted request was sent or, if that
-    was a watch, when it failed. `due`: when the balancer must have the list.
+    `available_since`: when the new list became available, which is when the last scripted request was sent
+    or, if that was a watch, when it failed after having worked. `due`: when the balancer must have the list.
     """
 
     def __init__(
@@ -203,7 +204,7 @@
 
     @property
     def due(self) -> int:
-        """A silent watch is noticed a second after its wait; an answer may take another second."""
+        """A silent watch is noticed a second after its wait; the answer may then take another second."""
         slow_answer = max(self.answer_duration - QUICK_ANSWER, 0)
         max_delay = DELIVERY_LIMIT - SLOWEST_ANSWER
         if not self.service.deployment.list_on_request:
--- a/thymedeck/__main__.py
+++ b/thymedeck/__main__.py
@@ -7,7 +7,7 @@
 if __name__ == "__main__":
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
-import argparse  # noqa: E402 (signals may arrive during the imports)
+import argparse  # noqa: E402 (the imports take long enough for a signal to arrive)
 import os  # noqa: E402
 import sys  # noqa: E402
 
--- a/thymedeck/net/clients.py
+++ b/thymedeck/net/clients.py
@@ -1,4 +1,7 @@
-"""The client side: the listening socket and the connection of each client."""
+"""The client side: the listening socket and the connection of each client.
+
+Times are whole tenths of a millisecond.
+"""
 
 import errno
 import socket
@@ -19,7 +22,8 @@
 LINGER_TIMEOUT = 10_000  # for the client to read the last bytes
 MALFORMED_LINGER_TIMEOUT = 3_000  # the same for a peer that speaks another protocol
 HALF_CLOSE_TIMEOUT = 50_000  # for the remaining direction of a half-closed connection
-MOVE_TIMEOUT = 30_000  # for the server's current line to end before MOVE; as long as a silent server gets
+# For the server's unfinished line to end before MOVE; as long as SILENCE_TIMEOUT allows a silent server.
+MOVE_TIMEOUT = 30_000
 BACKLOG = 512
 ACCEPT_BATCH = 32  # connections accepted in a row before other sockets are served
 
@@ -85,7 +89,7 @@
     def __init__(self, service: "Service", sock: socket.socket) -> None:
         super().__init__(service.loop, sock)
         self.service = service
-        self.open_words: list[bytes] = []  # words of the OPEN line, with a placeholder for the value of `d`
+        self.open_words: list[bytes] = []  # words of the OPEN line, with b"\0" as the value of `d`
         self.session_id = -1
         self.restored_server = -1  # server of a session that existed before this balancer started
         self.restore_deadline = 0
@@ -105,7 +109,8 @@
 
     def on_first_line_timeout(self) -> None:
         if self.inbound.used:
-            # The rest of the line may be on its way; a plain close would reset it.
+            # The rest of the line may be on its way. After a plain close it would cause a reset, and what is
+            # about to be a session would end without an answer.
             self.answer(b"BUSY\r\n", Ending.IDLE)
         else:
             self.finish(Ending.IDLE)
@@ -154,7 +159,7 @@
     # Answers
 
     def start_answer_timer(self, wait: int) -> None:
-        """Starts the timer that answers the client if nothing else has done so."""
+        """Starts the timer that answers the client if, because of a fault, nothing else has by then."""
         self.timer = self.loop.after(wait, self.on_answer_timeout)
         self.answer_deadline = self.timer.expires_at
 
@@ -173,7 +178,7 @@
     # The established session
 
     def on_established(self, dial: DialConnection) -> None:
-        """Starts relaying: client and server share their ring buffers, what one reads the other writes."""
+        """Starts relaying: the connections share ring buffers, so that what one reads the other writes."""
         self.is_established = True
         self.timer.cancel()
         self.outbound = dial.inbound
@@ -231,7 +236,10 @@
             self.close_both()
 
     def on_server_lost(self, ending: Ending) -> None:
-        """The server's connection broke: asks the client to move, if possible, so that it need not wait."""
+        """The server's connection is gone: if it broke between two lines, asks the client to move.
+
+        Without MOVE the client might wait long before it notices the break.
+        """
         self.service.on_session_ended(self, ending)
         self.dial.close()
         if ending is Ending.SERVER_BROKE and self.try_send_move():
@@ -266,7 +274,7 @@
         self.close(reset)
 
     def finish(self, ending: Ending, linger: bool = False) -> None:
-        """Ends the client's side; `linger` lets the client read the last bytes first."""
+        """Ends the client's side and its session; `linger` lets the client read the last bytes first."""
         if self.is_finished:
             return
         self.is_finished = True
--- a/thymedeck/net/config_file.py
+++ b/thymedeck/net/config_file.py
@@ -71,7 +71,7 @@
     return host, int(port)
 
 
-MAX_STARTED_MS = 1e15  # entries with larger values than these are rejected
+MAX_STARTED_MS = 1e15  # entries whose values are not below these limits are rejected
 MAX_WEIGHT = 1e12
 
 decode_listed = msgspec.json.Decoder(ServerListEntry).decode
--- a/thymedeck/net/connection.py
+++ b/thymedeck/net/connection.py
@@ -8,7 +8,7 @@
 from .loop import READ, WRITE, EventLoop
 from .ring import RingBuffer
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with zero seconds: the close sends a reset
 
 
 class Connection:
@@ -77,7 +77,7 @@
             self.read()
 
     def read(self) -> bool:
-        """Reads once; returns whether data arrived, so that more may wait."""
+        """Reads once; returns whether data arrived, in which case more may wait."""
         try:
             if self.discards_input:
                 count = len(self.sock.recv(65536))
--- a/thymedeck/net/endings.py
+++ b/thymedeck/net/endings.py
@@ -9,15 +9,15 @@
     # Of a dial before the session is established
     NO_SOCKET = auto()  # no socket could be opened
     NOT_UP = auto()  # connection refused or timed out
-    OVERTAKEN = auto()  # connected, but the server had started draining meanwhile
+    OVERTAKEN = auto()  # connected, but by then the server was draining or gone
     CUT_UNSENT = auto()  # broken or abandoned before the last byte of the OPEN line was written
     CUT_SENT = auto()  # broken or closed after that, without an answer
     GIVEN_UP = auto()  # no answer in time
-    TURNED_AWAY = auto()
+    TURNED_AWAY = auto()  # the server answered BUSY
     ERRED = auto()  # the server answered with an error or with an invalid line
     # Of an established session
     SERVED = auto()  # the server sent BYE
-    SENT_AWAY = auto()  # the server asked the client to move
+    SENT_AWAY = auto()  # the server asked the client to move; may also be a dial's answer
     SERVER_ENDED = auto()  # the server closed without BYE or MOVE
     SERVER_BROKE = auto()
     MOVED = auto()  # by this balancer
--- a/thymedeck/net/lines.py
+++ b/thymedeck/net/lines.py
@@ -14,7 +14,7 @@
 
 
 class LineTooLong(Exception):
-    """No line end within the longest line."""
+    """No line end within MAX_LINE_LENGTH bytes."""
 
 
 def peek_line(ring: RingBuffer) -> bytes | None:
--- a/thymedeck/net/load_reports.py
+++ b/thymedeck/net/load_reports.py
@@ -25,7 +25,7 @@
         self.last_at, self.load, self.previous = now, load, self.load
 
     def is_one_period_old(self, now: int) -> bool:
-        """Whether the last line came one period ago; never for the first line.
+        """Whether the last line came one period ago; a connection's first line does not count as such.
 
         Many sessions are established at once at a start, and each first line reports a load.
         """
@@ -41,7 +41,7 @@
         self.last_at = -1
 
     def is_delay_report(self, now: int, loads: SessionLoads) -> bool:
-        """Whether a line that arrives now reports a message delay."""
+        """Whether a line that arrives now reports a message delay; if so, its time is the new phase."""
         is_tracked = self.last_at >= 0 and abs(now - self.last_at - REPORT_PERIOD) <= TRACKING_TOLERANCE
         is_report = is_tracked or loads.is_one_period_old(now)
         if is_report:
--- a/thymedeck/net/loop.py
+++ b/thymedeck/net/loop.py
@@ -11,7 +11,7 @@
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 BASE_DESCRIPTORS = 10  # used by the process for other things than connections
 STALL_THRESHOLD = 1_000  # a timer that is this late shows that the process was stalled
-CLIENT_RESERVE_DIVISOR = 8  # clients leave this part of the descriptors to dials and the list request
+CLIENT_RESERVE_DIVISOR = 8  # clients leave one in eight descriptors to dials and the list request
 DIAL_RESERVE = 2  # descriptors that dials leave free: for the list request and for accepting one client
 
 
@@ -42,9 +42,8 @@
     ) -> None:
         self.system = system
         self.monotonic_ns = system.monotonic_ns
-        self.max_connections = self.free_descriptors = (
-            0  # descriptors for connections, and those of them not in use
-        )
+        # Descriptors for connections, and those of them not in use.
+        self.max_connections = self.free_descriptors = 0
         self.set_descriptor_limit(descriptor_limit)
         self.selector = system.selector()
         self.timers: list[tuple[int, int, TimerHandle]] = []
@@ -52,7 +51,7 @@
         self.on_exception = on_exception
         self.running = False
         self.polled_at = self.now()
-        self.longest_iteration = 0  # time between two polls; the reader resets it
+        self.longest_iteration = 0  # longest time between two polls since its reader last reset it
         self.stall_duration = 0  # data read now may have waited this long because the process was stalled
         self.priority_handler: EventHandler | None = None  # dispatched before all others
 
@@ -96,12 +95,12 @@
         timers = self.timers
         while timers and timers[0][2].callback is None:
             heapq.heappop(timers)
-        # Rounded up, so that a timer is never early.
+        # `now` is rounded down: waiting one unit longer ensures that a timer is never early.
         wait = max(timers[0][0] + 1 - self.now(), 0) / 10_000 if timers else None
         self.poll(wait)
         if timers and self.now() - timers[0][0] > STALL_THRESHOLD:
-            # The process was stalled, and what is late may have arrived meanwhile: it is read before the
-            # timers run.
+            # The process was stalled, in its wait or within an iteration. Data may have arrived meanwhile: it
+            # is read before the timers run, which would take it for missing.
             self.poll(0)
         now = self.now()
         while timers and timers[0][0] <= now:
@@ -123,7 +122,7 @@
             self.run_guarded(key.data.on_ready, mask)
 
     def run_guarded(self, callback: Callable[..., None], *arguments: object) -> None:
-        """Calls and reports exceptions, so that one failing handler does not stop the others."""
+        """Calls the callback and reports an exception: a failing handler must not stop the others."""
         try:
             callback(*arguments)
         except Exception as error:
--- a/thymedeck/net/serverlist.py
+++ b/thymedeck/net/serverlist.py
@@ -1,6 +1,7 @@
 """Client of the list service: HTTP requests, and a watch by long polling.
 
-A watch lasts as long as each answer is followed by the next request in time.
+A watch lasts as long as each answer is followed by the next request in time. Times are whole tenths of a
+millisecond.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -18,8 +19,8 @@
 
 PATH = "/registry/instances"
 CONNECT_TIMEOUT = 10_000
-ANSWER_TIMEOUT = 20_000  # for a request without wait, and for an answer that has begun
-# Beyond a watch's wait. Changes that a silent watch misses count as delivered 2 s after its wait is over.
+ANSWER_TIMEOUT = 20_000  # for a request without wait, and for the rest of an answer that has begun
+# A silent watch is given up this long after its wait: changes that it misses count as delivered 2 s after it.
 WATCH_TIMEOUT_MARGIN = 10_000
 MAX_WATCH_WAIT = 600_000
 # If a reused connection ends this soon after a request, the service had closed it before the request arrived.
--- a/thymedeck/net/servers.py
+++ b/thymedeck/net/servers.py
@@ -26,8 +26,8 @@
         self.entry: ServerEntry | None = None  # as last listed
         self.delay_schedule = DelaySchedule()
         self.delays: list[int] = []  # the latest; an empty deque would take 700 bytes
-        self.is_slow = False  # slow messages have been reported
-        self.is_unresponsive = False  # lines are waiting and none has been answered since
+        self.is_slow = False  # the last report to the policy told of slow messages
+        self.is_unresponsive = False  # several lines have waited unanswered, and none has been answered since
         self.sessions: dict[Client, None] = {}  # in the order in which they were established
 
     def add_delay_sample(self, delay: int) -> None:
@@ -66,12 +66,12 @@
 
     def on_ready(self, mask: int) -> None:
         if not self.is_sent and mask & WRITE:
-            # The client may have closed, with the end of stream still unread.
+            # The client may have closed, with its end of stream still unread: then nothing is sent for it.
             self.client.read()
         super().on_ready(mask)
 
     def on_connected(self) -> None:
-        """The OPEN line is sent now, unless the time is up or the server has started draining."""
+        """Lets the OPEN line be sent, unless the time is up or the server must get no new sessions by now."""
         self.connect_timer.cancel()
         if self.loop.now() >= self.limit_timer.expires_at:
             self.on_time_limit()
@@ -79,7 +79,7 @@
             self.finish(Ending.OVERTAKEN)
 
     def on_write_error(self) -> None:
-        """A failed write may find a reset before the server's last line was read: reads what is there."""
+        """A write may fail on a reset while the server's last lines are still unread: reads them first."""
         while self.is_open and self.read():
             pass
         if self.is_open:
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -48,7 +48,7 @@
 RESTORE_TIMEOUT = 35 * SECOND  # for re-establishing a session that existed before this balancer started
 RESTORE_RETRY_PAUSE = 2_000
 MAX_DEADLINE_MS = 86_400_000  # largest deadline accepted from a client
-MAX_LOAD = 1e12  # larger or non-numeric loads are ignored
+MAX_LOAD = 1e12  # reported loads from here on are ignored, clients' hints from here on are malformed
 DRAIN_SPREAD = SECOND  # time over which the sessions of a draining server are moved
 CHECK_INTERVAL = SECOND // 2  # between checks of the established sessions of each server
 LIST_BATCH = 256  # list entries passed to the policy in one loop iteration
@@ -264,7 +264,8 @@
                 or budget > 10 * MAX_DEADLINE_MS
                 or not 0 <= (hint or 0) < MAX_LOAD
                 or client.inbound.used  # clients must wait for the answer
-                or identifier in self.open_identifiers  # new with every connection: that session is another's
+                or identifier
+                in self.open_identifiers  # must be new with every connection; this one is in use
             ):
                 raise ValueError
         except (ValueError, KeyError):
@@ -312,7 +313,7 @@
     def dial(self, action: interface.Dial) -> None:
         self.dial_count += 1
         session_id, server = action.session_id, action.server
-        client = self.sessions.get(session_id)  # None: the client has left, and the event is queued
+        client = self.sessions.get(session_id)  # None: the client has left, and that event is still queued
         connect_timeout = self.deployment.connect_timeout
         # The decision itself took time; no dial may outlast the client's deadline.
         limit = min(action.limit, client.answer_deadline - self.loop.now()) if client is not None else 0
@@ -321,12 +322,18 @@
             self.handle_event(interface.DialEnded(session_id, server, OUTCOMES[Ending.NO_SOCKET], gone, None))
 
     def may_send(self, dial: DialConnection) -> bool:
-        """Whether the server may still get the line: it may have started draining during the connect."""
+        """Whether the server may still get the line: it may have started draining while the dial connected.
+
+        A restored session goes to its server in any state.
+        """
         entry = self.servers[dial.server].entry
         return dial.client.restored_server >= 0 or entry is None or entry.state is interface.ServerState.READY
 
     def evict_clients(self, min_free: int) -> None:
-        """Closes idle and lingering clients until enough descriptors are free; others need the sockets."""
+        """Closes clients without a session, oldest first, until more than `min_free` descriptors are free.
+
+        Many idle or lingering clients would otherwise take the sockets that others need.
+        """
         if self.is_evicting:
             return  # called again for the dial of a client that was read below; the outer loop continues
         self.is_evicting = True
@@ -346,7 +353,7 @@
             return False
         self.evict_clients(DIAL_RESERVE)
         if self.loop.free_descriptors <= DIAL_RESERVE:
-            # Dials must not use up the descriptors; the list request needs one.
+            # Dials must not exceed the descriptor limit, and leave one for the list request.
             self.log("no_sockets", why="sessions hold all")
             return False
         try:
@@ -450,7 +457,7 @@
             now, loads
         ):
             if loads.is_one_period_old(now) and loads.previous is not None:
-                # The previous line was a delay report too.
+                # The line before was a delay report too and was taken for a load: the real load is restored.
                 self.handle_event(interface.LoadReported(session_id, loads.previous))
             self.handle_event(interface.DelayReported(session_id, dial.server, int(load * 10)))
             return
@@ -479,8 +486,8 @@
             delays = sorted([*server.delays, *(now - one.unanswered_since for one in waiting_clients)])
             server.delays.clear()
             has_answers = len(waiting_clients) < len(delays)
-            # One dead connection says nothing of its server, and a server that has stopped answering must not
-            # pass for a slow one because its latest lines have not waited long yet.
+            # One dead connection says nothing about its server. A server that has stopped answering must not
+            # pass for a merely slow one because its latest lines have not waited long yet.
             server.is_unresponsive = not has_answers and (
                 server.is_unresponsive or len(waiting_clients) >= MIN_UNANSWERED
             )
@@ -571,7 +578,7 @@
     def parse_entry(
         self, raw: msgspec.Raw
     ) -> tuple[int, interface.ServerEntry | None, ServerListEntry | None]:
-        """Returns the server's index, its entry and the raw row; the entry is None if it is unusable."""
+        """Returns the server's index, its entry for the policy (None if unusable) and the decoded row."""
         try:
             row = decode_entry(raw)
         except DECODE_ERRORS as error:
@@ -626,12 +633,18 @@
         self.move_spread(DRAIN_SPREAD, clients)
 
     def move_spread(self, span: int, clients: list[Client]) -> None:
-        """Moves the clients one by one over the span, with jitter, so that they do not reconnect together."""
+        """Moves the clients one by one over the span, so that they do not all reconnect at once.
+
+        The jitter keeps balancers that move at the same time out of step.
+        """
         for index, client in enumerate(clients):
             self.loop.after(int(span * (index + self.uniform(0, 1)) / len(clients)), client.move)
 
     def on_list_address_changed(self) -> None:
-        """Treats the known servers as a saved list; the policy spreads the request over all balancers."""
+        """Starts again as with a saved list, and the policy chooses a random time for the first request.
+
+        Otherwise all balancers that are given the new address would call at once.
+        """
         if self.deployment.list_on_request:
             entries = [known.entry for known in self.servers if known.entry is not None]
             self.handle_event(interface.ServerListUpdated(interface.ListKind.SAVED, entries))
@@ -709,7 +722,10 @@
                 client.answer(b"BUSY\r\n", Ending.STOPPED)
 
     def stop_when_empty(self) -> None:
-        """Stops the loop once all clients are gone or the time is up; last bytes still need to be sent."""
+        """Stops the loop once all clients are gone or the time is up.
+
+        Until then last bytes may still have to be sent, and OPEN lines may still be arriving.
+        """
         if self.connections and self.loop.now() < self.stop_deadline:
             self.loop.after(200, self.stop_when_empty)
         else:
--- a/thymedeck/net/system.py
+++ b/thymedeck/net/system.py
@@ -1,4 +1,7 @@
-"""The operating system interface of the network code: clocks, selector, sockets and log (docs/lab.md)."""
+"""What the network code uses of the operating system, except signals: clocks, selector, sockets and log.
+
+The lab replaces it (docs/lab.md).
+"""
 
 import os
 import selectors
