--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -184,8 +184,8 @@
             if not select.select([], [sock], [], 0.05)[1]:
                 return
 
-    def wait_readable(self, end: Connection) -> None:
-        assert select.select([end.sock], [], [], STEP_TIMEOUT_SECONDS)[0], "nothing arrived"
+    def wait_readable(self, connection: Connection) -> None:
+        assert select.select([connection.sock], [], [], STEP_TIMEOUT_SECONDS)[0], "nothing arrived"
 
     # The service
 
@@ -277,8 +277,8 @@
 
     def service_connection_of(self, sock: socket.socket) -> Connection | None:
         for key in self.service.loop.selector.get_map().values():
-            end = getattr(key.data, "sock", None)
-            if isinstance(key.data, Connection) and self.peer_address(end) == sock.getsockname():
+            service_sock = getattr(key.data, "sock", None)
+            if isinstance(key.data, Connection) and self.peer_address(service_sock) == sock.getsockname():
                 return key.data
         return None
 
@@ -311,24 +311,26 @@
     def on_server(self, name: str, rest: str) -> None:
         verb, _, text = rest.partition(" ")
         if verb in ("dialled", "accepts"):
-            listeners = [listener for at, listener in self.server_sockets.items() if not text or at == text]
+            listeners = [
+                listener for server, listener in self.server_sockets.items() if not text or server == text
+            ]
             self.turn_until(lambda: select.select(listeners, [], [], 0)[0], "no dial")
             sock = select.select(listeners, [], [], 0)[0][0].accept()[0]
             peer = self.dials[name] = SteppedConnection(sock, self.turn_until)
             self.service_connections[id(peer)] = self.service_connection_of(sock)
         if verb in ("dialled", "reads"):
             line = self.dials[name].read_line()
-            of = text if verb == "reads" else name
-            assert line.startswith(f"OPEN id{of} key{of} "), line
+            client_name = text if verb == "reads" else name
+            assert line.startswith(f"OPEN id{client_name} key{client_name} "), line
             self.figures = line.split()[3]
         elif verb == "arrives":
             self.wait_readable(self.service_connections[id(self.dials[name])])
         elif verb == "takes":
-            end = self.service_connections[id(self.dials[name])]
+            connection = self.service_connections[id(self.dials[name])]
             throttled = PartialWriteBuffer()
-            throttled.append(end.outbound.read_all())
+            throttled.append(connection.outbound.read_all())
             throttled.remaining = int(text)
-            end.outbound = throttled
+            connection.outbound = throttled
         elif verb == "stuffs":
             self.remaining = FILLER_LINE * 200_000
             self.dials[name].sock.setblocking(False)
@@ -348,8 +350,8 @@
         assert len(held) == int(count), held.keys()
 
     def on_undelayed(self) -> None:
-        ends = [key.data for key in self.service.loop.selector.get_map().values()]
-        socks = [end.sock for end in ends if isinstance(end, Connection)]
+        connections = [key.data for key in self.service.loop.selector.get_map().values()]
+        socks = [connection.sock for connection in connections if isinstance(connection, Connection)]
         assert len(socks) > 1 and all(s.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for s in socks)
 
     def on_free(self, count: str) -> None:
@@ -399,12 +401,12 @@
             self.flood(self.list_calls[-1].sock)
         elif verb == "comes":
             for _ in range(0, int(text), STEP_MS):
-                if self.is_call_waiting():
+                if self.is_list_request_waiting():
                     return
                 self.on_passes(str(STEP_MS))
-            assert self.is_call_waiting(), "no call in time"
+            assert self.is_list_request_waiting(), "no list request in time"
         elif verb == "unseen":
-            assert not select.select([self.discovery], [], [], 0)[0], "a call waits"
+            assert not select.select([self.discovery], [], [], 0)[0], "a list request waits"
         else:
             super().on_list(verb, text)
 
@@ -417,14 +419,14 @@
                 return
             self.turn()
 
-    def is_call_waiting(self) -> bool:
+    def is_list_request_waiting(self) -> bool:
         """Whether a list request waits, on a new connection or on the one kept open."""
         kept = [call.sock for call in self.list_calls[-1:] if call.sock.fileno() >= 0]
         matches = select.select([self.discovery, *kept], [], [], 0)[0]
         return any(sock is self.discovery or sock.recv(1, socket.MSG_PEEK) for sock in matches)
 
     def accept_list_call(self) -> None:
-        self.turn_until(lambda: select.select([self.discovery], [], [], 0)[0], "no call")
+        self.turn_until(lambda: select.select([self.discovery], [], [], 0)[0], "no list request")
         self.list_calls.append(SteppedConnection(self.discovery.accept()[0], self.turn_until))
 
     # The log
--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -163,17 +163,17 @@
 
     # Answers of the list service
 
-    def on_request(self, call: ListServerConnection, wait: int) -> None:
+    def on_request(self, connection: ListServerConnection, wait: int) -> None:
         if self.failure is None:
-            self.server_loop.after(self.answer_duration, lambda: call.answer(100 + self.request_count))
+            self.server_loop.after(self.answer_duration, lambda: connection.answer(100 + self.request_count))
         else:
             kind, fraction = self.failure
             # A watch works for this long, unless it is still queued at the service.
             healthy_time = 0 if kind == "503 late" else int(fraction * wait)
-            self.server_loop.after(healthy_time, partial(self.fail, call, kind, wait, healthy_time))
+            self.server_loop.after(healthy_time, partial(self.fail, connection, kind, wait, healthy_time))
 
-    def fail(self, call: ListServerConnection, kind: str, wait: int, healthy_time: int) -> None:
-        if not call.is_open:
+    def fail(self, connection: ListServerConnection, kind: str, wait: int, healthy_time: int) -> None:
+        if not connection.is_open:
             return
         if wait:
             self.available_since = self.world.now()
@@ -181,21 +181,23 @@
                 wait - healthy_time + SILENCE_LIMIT if kind in ("silent", "up late", "refused") else 0
             )
         if kind in TRUNCATED:
-            call.send(TRUNCATED[kind])
-            self.server_loop.after(SECOND // 2 if TRUNCATED[kind] or not wait else 0, call.close)
+            connection.send(TRUNCATED[kind])
+            self.server_loop.after(SECOND // 2 if TRUNCATED[kind] or not wait else 0, connection.close)
         elif kind == "served":
-            call.answer(10 + self.request_count)
+            connection.answer(10 + self.request_count)
         elif kind == "reset":
-            call.close(reset=True)
+            connection.close(reset=True)
         elif kind.startswith("503"):
-            self.server_loop.after(QUICK_ANSWER if kind == "503 late" else 0, partial(call.send, UNAVAILABLE))
+            self.server_loop.after(
+                QUICK_ANSWER if kind == "503 late" else 0, partial(connection.send, UNAVAILABLE)
+            )
         elif kind == "never ends":
-            call.send(HEAD % 1000 + b"{")
-            call.trickle()
+            connection.send(HEAD % 1000 + b"{")
+            connection.trickle()
         elif kind == "spoilt":
-            call.send(HEAD % 5 + b"{nope")
+            connection.send(HEAD % 5 + b"{nope")
         elif kind == "no http":
-            call.send(b"\0\0\0\r\n\r\n")
+            connection.send(b"\0\0\0\r\n\r\n")
         elif kind == "moved":
             list_client = self.service.list_client
             list_client.switch_to(MOVED if list_client.address == LIST else LIST)
@@ -249,10 +251,11 @@
     print("| what fails | a call | five in a row | a watch |")
     print(f"| nothing, at a start | {longest_delay([[]], arguments.seeds, **site)} | | |")
     for failure in FAILURES:
-        call, late = (failure, 0.0), (failure, 0.7)
-        watches = [[("served", 0.0), one] for one in (call, late)]
+        at_once, late = (failure, 0.0), (failure, 0.7)
+        watches = [[("served", 0.0), one] for one in (at_once, late)]
         times = [
-            longest_delay(scripts, arguments.seeds, **site) for scripts in ([[call]], [[call] * 5], watches)
+            longest_delay(scripts, arguments.seeds, **site)
+            for scripts in ([[at_once]], [[at_once] * 5], watches)
         ]
         print(f"| {failure} | {' | '.join(times)} |", flush=True)
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -32,7 +32,7 @@
         target = self.rfile.readline().split()[1]
         while self.rfile.readline().strip():
             pass
-        self.server.calls += 1
+        self.server.request_count += 1
         getattr(self, self.server.behaviour)(b"wait=" in target and not target.endswith(b"wait=0"))
 
     def answer(self, status: bytes, body: bytes, length: int) -> None:
@@ -69,7 +69,7 @@
     def __init__(self, behaviour: str) -> None:
         super().__init__(("127.0.0.1", 0), ListRequestHandler, bind_and_activate=False)
         self.behaviour = behaviour
-        self.calls = 0
+        self.request_count = 0
         self.turn = threading.Lock()
         self.done = threading.Event()
         self.server_bind()
@@ -164,6 +164,11 @@
     quantiles = {
         share: f"{took[min(int(share * FLEET_SIZE), len(took)) - 1]:.2f}" for share in (0.5, 0.9, 1) if took
     }
-    print(f"\n{behaviour}: {len(took)} of {FLEET_SIZE} ready, seconds {quantiles}, {list_server.calls} calls")
+    print(
+        f"\n{behaviour}: {len(took)} of {FLEET_SIZE} ready, seconds {quantiles}, "
+        f"{list_server.request_count} requests"
+    )
     assert sum(seconds <= READY_TIMEOUT_SECONDS for seconds in took) >= 0.9 * FLEET_SIZE, took
-    assert (list_server.calls > 0) is (behaviour != "down"), "the list service did not behave as configured"
+    assert (list_server.request_count > 0) is (behaviour != "down"), (
+        "the list service did not behave as configured"
+    )
