--- a/thymedeck/net/serverlist.py
+++ b/thymedeck/net/serverlist.py
@@ -167,7 +167,8 @@
         self.service = service
         self.address = address
         self.wait = min(deployment.list_poll_within // 2, MAX_WATCH_WAIT)
-        # Pushed lists count as delivered even while a request hangs, so that less time is left for it.
+        # Pushed lists count as delivered even while a request hangs, so it may take no more than half of
+        # the time within which sending to a draining server has to stop.
         self.max_timeout_margin = (
             ANSWER_TIMEOUT if deployment.list_on_request else deployment.drain_grace // 2
         )
--- a/thymedeck/net/servers.py
+++ b/thymedeck/net/servers.py
@@ -26,7 +26,7 @@
         self.entry: ServerEntry | None = None  # as last listed
         self.delay_schedule = DelaySchedule()
         self.delays: list[int] = []  # the latest; an empty deque would take 700 bytes
-        self.is_slow = False  # the last delay reported to the policy was too long
+        self.is_slow = False  # message delay above a third of the shortest aim at the last check
         self.is_unresponsive = False  # several lines have waited unanswered, and none has been answered since
         self.sessions: dict[Client, None] = {}  # in the order in which they were established
 
--- a/thymedeck/net/service.py
+++ b/thymedeck/net/service.py
@@ -641,9 +641,10 @@
             self.loop.after(int(span * (index + self.uniform(0, 1)) / len(clients)), client.move)
 
     def on_list_address_changed(self) -> None:
-        """Starts again as with a saved list, and the policy chooses a random time for the first request.
+        """Requests the list from the new address: a pushed one at once.
 
-        Otherwise all balancers that are given the new address would call at once.
+        Otherwise the known servers count as a saved list, and the policy chooses a random time for the
+        request, as all balancers that are given the new address would call at once.
         """
         if self.deployment.list_on_request:
             entries = [known.entry for known in self.servers if known.entry is not None]
