--- a/tests/list_paths.py
+++ b/tests/list_paths.py
@@ -24,13 +24,14 @@
 
 SECOND = 10_000
 DELIVERY_LIMIT = 6 * SECOND  # promised to the operators
-SLOWEST_ANSWER = (
-    19_000  # answer that the bound holds for, so that the rest of the 6 s is for what the balancer does
-)
-SILENCE_LIMIT = 2 * SECOND  # after a watch's wait, if that is later than 6 s; less the second for an answer
+# The slowest answer for which DELIVERY_LIMIT holds; the rest of the 6 s is for what the balancer does itself.
+SLOWEST_ANSWER = 19_000
+# A silent watch has this long after its wait, if that is later than DELIVERY_LIMIT. It includes a second for
+# the answer, so that an answer slower than QUICK_ANSWER extends it.
+SILENCE_LIMIT = 2 * SECOND
 QUICK_ANSWER = 9_500
-CONNECT_WITHIN = 10_000
-MARGIN = 300  # by the ways there and back, and by this play's looking every so often
+CONNECT_TIMEOUT = 10_000
+MARGIN = 300  # for the network delays and for the time between two polls of the play
 POLL_NS = 5_000_000
 DELAY_NS = 500_000
 SLOW_CONNECT_NS = 900_000_000
@@ -46,8 +47,8 @@
             "no http", "moved", *TRUNCATED)  # fmt: skip
 
 
-class ListServerEnd(Connection):
-    """The list service's end of a connection; answers or fails as the play says."""
+class ListServerConnection(Connection):
+    """The list service's end of a connection; answers or fails as scripted."""
 
     def __init__(self, play: "Play", sock: object) -> None:
         super().__init__(play.server_loop, sock)
@@ -81,8 +82,8 @@
 class Play:
     """One balancer; its first requests follow the script, all others are answered after `answer_duration`.
 
-    `available_since`: when the new list became available: the last scripted request was sent or, if that
-    was a watch, when it failed. `due`: when the balancer must have the list.
+    `available_since`: when the new list became available, which is when the last scripted request was sent
+    or, if that was a watch, when it failed after having worked. `due`: when the balancer must have the list.
     """
 
     def __init__(
@@ -95,12 +96,12 @@
         self.failure: tuple[str, float] | None = None
         self.listeners: dict[tuple[str, int], ListeningSocket] = {}
         self.server_loop = self.add_loop(EventLoop(self.log_exception, 4096, Machine(self.world, LIST[0])))
-        self.open_doors()
-        env = msgspec.json.decode(msgspec.json.encode(SETTINGS))
-        env |= {"discovery": discovery, "replicas_of_me": replicas}
-        env["contract"] |= {"ask_within_us": ask_within_us, "drain_grace_us": drain_grace_us}
+        self.open_listeners()
+        site_settings = msgspec.json.decode(msgspec.json.encode(SETTINGS))
+        site_settings |= {"discovery": discovery, "replicas_of_me": replicas}
+        site_settings["contract"] |= {"ask_within_us": ask_within_us, "drain_grace_us": drain_grace_us}
         config = {
-            "name": "b", "listen": "10.0.0.1:8000", "discovery": "10.2.0.1:8500", "settings": env,
+            "name": "b", "listen": "10.0.0.1:8000", "discovery": "10.2.0.1:8500", "settings": site_settings,
             "known": {"version": 1, "servers": []}, "limits": {"sockets": 256},
         }  # fmt: skip
         config = msgspec.json.decode(msgspec.json.encode(config), type=BalancerConfig)
@@ -111,9 +112,9 @@
             self.service = Service(
                 StartupConfig("", config, BALANCER, LIST, seed), Machine(self.world, BALANCER[0])
             )
-        patience = self.service.list_client.request_timeout(0)
-        self.answer_duration = min(answer_duration, patience * 4 // 5)
-        self.service.on_list = self.listed
+        timeout = self.service.list_client.request_timeout(0)
+        self.answer_duration = min(answer_duration, timeout * 4 // 5)
+        self.service.on_list = self.record_list
         self.add_loop(self.service.loop)
 
     def log_exception(self, error: BaseException) -> None:
@@ -124,14 +125,14 @@
         self.world.loops.append(loop)
         return loop
 
-    def open_doors(self) -> None:
+    def open_listeners(self) -> None:
         for address in (LIST, MOVED):
             if address not in self.listeners:
-                self.listeners[address] = ListeningSocket(self.server_loop, address, self.take)
+                self.listeners[address] = ListeningSocket(self.server_loop, address, self.accept_connection)
 
-    def take(self, sock: object, source: tuple[str, int]) -> None:
+    def accept_connection(self, sock: object, source: tuple[str, int]) -> None:
         self.world.delay_ns = DELAY_NS
-        ListServerEnd(self, sock)
+        ListServerConnection(self, sock)
 
     # Requests of the balancer
 
@@ -152,27 +153,27 @@
             for address in list(self.listeners):
                 self.listeners.pop(address).close()
         else:
-            self.open_doors()
+            self.open_listeners()
         if kind == "never up":
             self.world.isolated_hosts.add(LIST[0])
 
-    def listed(self, listing: object) -> None:
+    def record_list(self, server_list: object) -> None:
         if self.request_count > len(self.script) and not self.received_at:
             self.received_at = self.world.now()
 
     # Answers of the list service
 
-    def on_request(self, call: ListServerEnd, wait: int) -> None:
+    def on_request(self, connection: ListServerConnection, wait: int) -> None:
         if self.failure is None:
-            self.server_loop.after(self.answer_duration, lambda: call.answer(100 + self.request_count))
+            self.server_loop.after(self.answer_duration, lambda: connection.answer(100 + self.request_count))
         else:
             kind, fraction = self.failure
             # A watch works for this long, unless it is still queued at the service.
             healthy_time = 0 if kind == "503 late" else int(fraction * wait)
-            self.server_loop.after(healthy_time, partial(self.fail, call, kind, wait, healthy_time))
+            self.server_loop.after(healthy_time, partial(self.fail, connection, kind, wait, healthy_time))
 
-    def fail(self, call: ListServerEnd, kind: str, wait: int, healthy_time: int) -> None:
-        if not call.is_open:
+    def fail(self, connection: ListServerConnection, kind: str, wait: int, healthy_time: int) -> None:
+        if not connection.is_open:
             return
         if wait:
             self.available_since = self.world.now()
@@ -180,36 +181,38 @@
                 wait - healthy_time + SILENCE_LIMIT if kind in ("silent", "up late", "refused") else 0
             )
         if kind in TRUNCATED:
-            call.send(TRUNCATED[kind])
-            self.server_loop.after(SECOND // 2 if TRUNCATED[kind] or not wait else 0, call.close)
+            connection.send(TRUNCATED[kind])
+            self.server_loop.after(SECOND // 2 if TRUNCATED[kind] or not wait else 0, connection.close)
         elif kind == "served":
-            call.answer(10 + self.request_count)
+            connection.answer(10 + self.request_count)
         elif kind == "reset":
-            call.close(reset=True)
+            connection.close(reset=True)
         elif kind.startswith("503"):
-            self.server_loop.after(QUICK_ANSWER if kind == "503 late" else 0, partial(call.send, UNAVAILABLE))
+            self.server_loop.after(
+                QUICK_ANSWER if kind == "503 late" else 0, partial(connection.send, UNAVAILABLE)
+            )
         elif kind == "never ends":
-            call.send(HEAD % 1000 + b"{")
-            call.trickle()
+            connection.send(HEAD % 1000 + b"{")
+            connection.trickle()
         elif kind == "spoilt":
-            call.send(HEAD % 5 + b"{nope")
+            connection.send(HEAD % 5 + b"{nope")
         elif kind == "no http":
-            call.send(b"\0\0\0\r\n\r\n")
+            connection.send(b"\0\0\0\r\n\r\n")
         elif kind == "moved":
-            follower = self.service.list_client
-            follower.switch_to(MOVED if follower.address == LIST else LIST)
+            list_client = self.service.list_client
+            list_client.switch_to(MOVED if list_client.address == LIST else LIST)
 
     # The time limit
 
     @property
     def due(self) -> int:
-        """A silent watch is noticed a second after its wait; an answer may take another second."""
+        """A silent watch is noticed a second after its wait; the answer may then take another second."""
         slow_answer = max(self.answer_duration - QUICK_ANSWER, 0)
         max_delay = DELIVERY_LIMIT - SLOWEST_ANSWER
         if not self.service.deployment.list_on_request:
             # Pushed lists count as delivered while no request is made: each step may take part of the grace.
             grace = self.service.deployment.drain_grace
-            max_delay = min(max_delay, CONNECT_WITHIN + grace // 2 + grace // 4 + MARGIN)
+            max_delay = min(max_delay, CONNECT_TIMEOUT + grace // 2 + grace // 4 + MARGIN)
         return self.available_since + max(
             max_delay + self.answer_duration, self.silence and self.silence + slow_answer
         )
@@ -248,10 +251,11 @@
     print("| what fails | a call | five in a row | a watch |")
     print(f"| nothing, at a start | {longest_delay([[]], arguments.seeds, **site)} | | |")
     for failure in FAILURES:
-        call, late = (failure, 0.0), (failure, 0.7)
-        watches = [[("served", 0.0), one] for one in (call, late)]
+        at_once, late = (failure, 0.0), (failure, 0.7)
+        watches = [[("served", 0.0), one] for one in (at_once, late)]
         times = [
-            longest_delay(scripts, arguments.seeds, **site) for scripts in ([[call]], [[call] * 5], watches)
+            longest_delay(scripts, arguments.seeds, **site)
+            for scripts in ([[at_once]], [[at_once] * 5], watches)
         ]
         print(f"| {failure} | {' | '.join(times)} |", flush=True)
 
