--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -33,12 +33,12 @@
         if len(parts) < 3 or not re.fullmatch(r"\S+\.py::\S.*", parts[0]) or not parts[1]:
             raise ValueError(f"line {number} is not {ENTRY_FORMAT}")
         if not re.fullmatch(r"[1-9]\d*", parts[2], re.ASCII):
-            raise ValueError(f"line {number}: {parts[2]!r} is no issue's number; wanted is {ENTRY_FORMAT}")
+            raise ValueError(f"line {number}: {parts[2]!r} is not an issue number; expected {ENTRY_FORMAT}")
         if any(entry.test == parts[0] for entry in entries):
             raise ValueError(f"line {number}: {parts[0]} is listed twice")
         entries.append(KnownFailure(parts[0], parts[1], int(parts[2])))
     if len(entries) > MAX_ENTRIES:
-        raise ValueError(f"{len(entries)} tests are listed, {MAX_ENTRIES} at most may be: mend one first")
+        raise ValueError(f"{len(entries)} tests are listed, at most {MAX_ENTRIES} are allowed: fix one first")
     return entries
 
 
@@ -75,7 +75,7 @@
         elif report.when == "teardown" and item.nodeid not in self.failed:
             # All phases have passed: the fault is fixed or the test is skipped, and the entry is out of date.
             report.outcome = "failed"
-            report.longrepr = f"{LIST_FILE} lists {item.nodeid}, which does not fail: take its line out"
+            report.longrepr = f"{LIST_FILE} lists {item.nodeid}, which does not fail: remove its line"
         if report.when == "teardown":
             self.finished.add(item.nodeid)
         return report
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -19,7 +19,7 @@
 class ShareCheckingFleet(WarmUpFleet):
     """Records by how much a balancer exceeds its own share of the budget of a cold server."""
 
-    max_excess = 0  # sessions of one balancer in a window, less its share at that time
+    max_excess = 0  # sessions of one balancer in a window, less its share at that time, rounded up
 
     def replace_session(self, index: int, now: int) -> int | None:
         server = super().replace_session(index, now)
@@ -66,7 +66,10 @@
 
 
 def test_shares_are_used_as_often_as_their_probabilities_say() -> None:
-    """With many more dials than draws, the sessions sent match the expected value of the draws."""
+    """With many more arrivals than admission draws, the sessions sent match the draws' expected value.
+
+    A budget that a draw grants must not stay unused.
+    """
     rounds, expected, sent = 10, 0.0, 0
     for seed in range(rounds):
         fleet = WarmUpFleet(Case(30, 20, arrivals_per_second=120.0), seed)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,7 @@
-"""Scenarios with faults on real daemons and in virtual time, the checks themselves, and scenario files."""
+"""Scenarios with faults on real daemons and in virtual time, the checks themselves, and scenario files.
+
+A run on real daemons must leave no process and no file behind.
+"""
 
 import os
 from pathlib import Path
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""A small part of the sweeps: costs as counts and how they grow with size, never as times, which vary."""
+"""A small part of the sweeps: costs as counts and how they grow with size, never as times."""
 
 import argparse
 from pathlib import Path
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""The tool that tabulates the journal: only complete, undisturbed runs of the chosen days count, by code."""
+"""The tool that tabulates the journal: only undisturbed runs of enough balancers count."""
 
 import json
 import subprocess
--- a/thymedeck/lab/checks.py
+++ b/thymedeck/lab/checks.py
@@ -90,9 +90,9 @@
 
 
 def check_drains(entries: list[Entry], grace: int, slack: int = SLACK) -> list[str]:
-    """No dial to a server once the grace period has passed since its balancer learned of its drain or end."""
+    """No balancer dials a server later than `grace` after it learned that the server drains or is gone."""
     violations = []
-    # By balancer and server: when the balancer learned of the drain or end.
+    # By balancer and server: when the balancer learned that the server drains or is gone.
     learned_at: dict[tuple[str, str], int] = {}
     for entry in entries:
         if entry["what"] == "list answer" and entry["status"] == 200:
--- a/thymedeck/lab/cold.py
+++ b/thymedeck/lab/cold.py
@@ -85,8 +85,9 @@
     """Upper bounds of the share of warm-ups with a failed server, from the budget shares of a fleet.
 
     The first assumes dials at every moment: it sums, over all sessions sent, the probability that the other
-    sessions of the window before fill the window. The second assumes that all balancers dial at once after a
-    window without a dial, at a uniformly distributed time, and at every moment from then on.
+    sessions of the window that ends with it put the window above the limit. The second assumes that all
+    balancers dial at once after a window without a dial, at a uniformly distributed time, and at every moment
+    from then on.
     """
     fleet = WarmUpFleet(case, seed)
     window, length = DEPLOYMENT.overload_window, DEPLOYMENT.warm_after
@@ -124,7 +125,8 @@
             rng.uniform(0, length) // period * period + rng.uniform(0, BURST_LENGTH) for _ in range(count)
         ]
     elif case.arrivals == "herd":
-        # Almost nothing until all clients reconnect at once: a fifth of the sessions, over all balancers.
+        # No arrivals until clients of all balancers reconnect at once: a fifth of all arrivals. The others
+        # follow at random times.
         first = rng.uniform(0, length - DEPLOYMENT.overload_window)
         times = [
             rng.uniform(first, length) if index % 5 else first + rng.uniform(0, BURST_LENGTH)
--- a/thymedeck/lab/membership_simulation.py
+++ b/thymedeck/lab/membership_simulation.py
@@ -32,7 +32,7 @@
 
 
 def peer_settings(index: int, join: tuple[str, ...] = (), **overrides: object) -> PeerSettings:
-    """The settings of the example file, with an address of the peer's own."""
+    """The values of deploy/peers.toml, with an address of the peer's own."""
     values = {
         "fleet": "lab", "listen": ("127.0.0.1", 7946), "advertise": peer_address(index), "join": join,
         "keys": KEYS, "key_path": Path("none"), "period": SECOND, "answer_within": 3_000,
@@ -273,13 +273,13 @@
 
 
 class Measurements(Struct):
-    """Of one fleet size and one seed; times in seconds, negative where the event did not occur."""
+    """Of one fleet size and one seed; times in seconds, negative where an event did not occur."""
 
     balancers: int
     met: float  # until all know all, all started together
     join: float  # until all know a new peer
     death_half: float  # until half know of a death
-    death_all: float
+    death_all: float  # until all know of it; the time waited if they did not
     heal: float  # until all agree after a network cut of 10 s into halves
     false_no_loss: int  # log lines that call a running peer gone, with no datagrams lost
     false_low_loss: int  # with 5 % lost
@@ -375,6 +375,6 @@
 
 
 def cut_by_parity(now: int) -> list[Fault]:
-    """For 10 s, separates the peers whose names end in an even digit from those that end in an odd one."""
+    """Faults that for 10 s separate the peers whose names end in an even digit from the others."""
     even, odd = "b*[02468]", "b*[13579]"
     return [Fault(now, now + 10 * SECOND, *sides, cut=True) for sides in ((even, odd), (odd, even))]
--- a/thymedeck/lab/scale/control.py
+++ b/thymedeck/lab/scale/control.py
@@ -20,7 +20,7 @@
 MESSAGE_KINDS = ("ping", "ack", "ask", "proof", "news", "counts")
 LARGE_FLEET = 200
 REGIONS = 3  # the balancers are spread over this many regions
-KNOWN_FRACTIONS = (0.5, 0.99, 1.0)  # of those that have to learn of an event
+KNOWN_FRACTIONS = (0.5, 0.99, 1.0)  # of the peers that have to learn of an event
 
 
 def message_kind(message: Message) -> str:
@@ -234,7 +234,7 @@
 
 
 def count_pairs_across(simulation: MembershipSimulation, cut_off: set[str]) -> int:
-    """Pairs across the cut of which one still considers the other to be alive."""
+    """Ordered pairs across the cut of which the first peer still considers the second to be alive."""
     return sum(
         (peer.name in cut_off) != (member.name in cut_off) and not peer.is_dead
         for member in simulation.alive().values()
@@ -243,7 +243,7 @@
 
 
 def count_missing_pairs(simulation: MembershipSimulation) -> int:
-    """Pairs of running peers of which one does not consider the other to be alive."""
+    """Ordered pairs of running peers of which the first does not consider the second to be alive."""
     alive = simulation.alive().values()
     return sum(len(alive) - 1 - sum(not peer.is_dead for peer in member.peers.values()) for member in alive)
 
--- a/thymedeck/lab/scale/daemon.py
+++ b/thymedeck/lab/scale/daemon.py
@@ -31,7 +31,10 @@
         name: str = "b0",
         peers: dict | None = None,
     ) -> None:
-        """`servers`: the list in its file, if empty it asks for all; `peers`: entries of its peers file."""
+        """`servers`: the saved list in its configuration; if empty, it asks the list service for all.
+
+        `peers`: entries of its peers settings file.
+        """
         self.folder = tempfile.TemporaryDirectory(prefix="thymedeck-scale-")
         self.log = Path(self.folder.name, "log")
         deployment = deployment_settings(1, ["m1"], ["a"])
@@ -86,13 +89,16 @@
         return open_descriptors(self.pid)
 
     def core_usage(self, seconds: float) -> float:
-        """Fraction of a core that the daemon uses over so many seconds."""
+        """Fraction of a core that the daemon uses during this time."""
         before, begin = self.cpu_seconds(), time.monotonic()
         time.sleep(seconds)
         return (self.cpu_seconds() - before) / (time.monotonic() - begin)
 
     def stop(self) -> tuple[float, float]:
-        """Sends SIGTERM; returns the processor time last seen and the time until the process ended."""
+        """Sends SIGTERM; returns the processor time used from then on and the time until the process ended.
+
+        The processor time is the value last seen before the end. Waits no longer than STOP_TIMEOUT.
+        """
         before, begin, cpu = self.cpu_seconds(), time.monotonic(), 0.0
         self.process.send_signal(signal.SIGTERM)
         while self.process.poll() is None and time.monotonic() < begin + STOP_TIMEOUT:
@@ -102,7 +108,10 @@
         return cpu, time.monotonic() - begin
 
     def longest_ping(self, seconds: float) -> float:
-        """Sends PINGs one after another; returns the longest round trip, which bounds a turn of the loop."""
+        """Sends PINGs one after another; returns the longest round trip.
+
+        A PING waits until the current turn of the loop ends, so this shows how long a turn took.
+        """
         longest, end = 0.0, time.monotonic() + seconds
         while time.monotonic() < end:
             longest = max(longest, self.ping())
--- a/thymedeck/lab/scale/endpoints.py
+++ b/thymedeck/lab/scale/endpoints.py
@@ -62,7 +62,7 @@
             sock.close()
 
     def read(self, fd: int) -> bytes:
-        """Returns b"" once the connection has ended."""
+        """Returns b"" if the connection has ended or is lost, and if there is nothing to read."""
         try:
             return self.sockets[fd].recv(65536)
         except (BlockingIOError, ConnectionError):
@@ -160,7 +160,7 @@
     def __init__(self, pipe: Connection, port: int) -> None:
         super().__init__(pipe)
         self.balancer = ("127.0.0.1", port)
-        self.pending: dict[int, float] = {}  # when each client without an answer connected
+        self.pending: dict[int, float] = {}  # when each client that has no answer yet began to connect
         self.established: dict[int, None] = {}
         self.partial_lines: dict[int, bytes] = {}
         self.answers: Counter[str] = Counter()
@@ -172,7 +172,10 @@
         self.last_id = 0
 
     def open(self, count: int, rate: int) -> dict:
-        """Opens sessions, `rate` per second; returns the number of each answer, and times in seconds."""
+        """Opens sessions, `rate` per second; returns how often each answer came, and two times in seconds.
+
+        `median` is that of the times from connecting to the answer, `took` the time for all.
+        """
         self.answers.clear()
         self.answer_seconds.clear()
         begin, opened = time.monotonic(), 0
@@ -267,7 +270,7 @@
         return len(delays), delays
 
     def count_ended(self, wait_for_all: bool = False) -> tuple[int, int]:
-        """How many were moved and how many cut off; `wait_for_all`: once no session is left."""
+        """How many were moved and how many cut off; `wait_for_all`: first waits until no session is left."""
         if wait_for_all:
             self.run_until(lambda: not self.established, GRACE_SECONDS)
         return self.moved, self.cut_off
--- a/thymedeck/lab/scale/process.py
+++ b/thymedeck/lab/scale/process.py
@@ -26,7 +26,10 @@
 
 
 def set_resource_limits() -> None:
-    """Raises the limit of descriptors to the hard limit; limits data to half the machine's memory."""
+    """Raises the limit of descriptors to the hard limit, and limits memory to half of the machine's.
+
+    Both hold for this process and, each by itself, for every process that it starts.
+    """
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     half = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") // 2
--- a/thymedeck/lab/scale/rows.py
+++ b/thymedeck/lab/scale/rows.py
@@ -45,9 +45,10 @@
     def measure_missing(
         self, row_keys: list[Row], again: bool, measure: Callable[..., Row], report: Callable
     ) -> int:
-        """Measures the missing rows, with `again` all rows; returns the number of rows measured.
+        """Measures the missing rows, or with `again` all rows; returns the number of rows measured.
 
-        `measure` takes the key columns as keyword arguments. `load` is the load average of the machine.
+        `measure` takes the key columns as keyword arguments. The column `load` is the machine's load average
+        over the last minute.
         """
         measured = 0
         for row_key in row_keys:
--- a/thymedeck/lab/scale/server_list.py
+++ b/thymedeck/lab/scale/server_list.py
@@ -82,7 +82,7 @@
 
 
 def wait_until_listed(daemon: Daemon, entries: int) -> float:
-    """Seconds until the log has a line for each entry; raises TimeoutError if it does not come to that."""
+    """Seconds from the call until the log has a line for each entry. Raises TimeoutError."""
     begin = time.monotonic()
     last_size, mark = 0, b'"event":"listed"'
     while time.monotonic() < begin + LIST_TIMEOUT:
--- a/thymedeck/lab/scale/sessions.py
+++ b/thymedeck/lab/scale/sessions.py
@@ -41,7 +41,7 @@
 
 
 def open_sessions(daemon: Daemon, clients: Worker, count: int) -> dict:
-    """Opens so many more sessions and retries refused ones; raises ValueError if some are never opened."""
+    """Opens so many more sessions and retries refused ones; raises ValueError after MAX_ATTEMPTS."""
     before = daemon.cpu_seconds()
     answers = Counter()
     for _ in range(MAX_ATTEMPTS):
--- a/thymedeck/lab/scenario.py
+++ b/thymedeck/lab/scenario.py
@@ -27,12 +27,12 @@
     count: int
     kind: str = "m1"
     zone: str = "a"
-    limit: int = 100_000  # connections
+    limit: int = 100_000  # established sessions at a time
     work: str = "5 ms"  # per session setup; setups are processed one at a time
 
 
 class ListServiceSpec(StrictStruct):
-    capacity: str = ""  # calls per second; empty: unlimited
+    capacity: str = ""  # a rate of requests; empty: unlimited
     refusal_cost: float = 0.0  # of a refusal, as a fraction of an answer's cost
     known: bool = True  # whether balancers are given the servers at startup
 
@@ -60,7 +60,7 @@
 
 
 class TimedAction(StrictStruct):
-    """An action on each party that matches a pattern in `who`, or on the list service."""
+    """An action on each balancer or server whose name matches a pattern in `who`, or on the list service."""
 
     at: str
     what: Literal[
@@ -83,8 +83,10 @@
     clients: list[ClientGroupSpec] = []
     broken: list[FaultSpec] = []
     deeds: list[TimedAction] = []
-    agree_within: str = ""  # at the end: every running balancer knows all running ones and no others
-    grace: str = "2 s"  # for drains
+    # Time from the end within which every running balancer must know all other running ones and nobody else;
+    # empty: not checked
+    agree_within: str = ""
+    grace: str = "2 s"  # dials to a draining server are allowed for so long
 
 
 class Scenario(msgspec.Struct):
--- a/thymedeck/lab/scenario_run.py
+++ b/thymedeck/lab/scenario_run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario on either testbed, then checks the rules against what the stand-ins recorded."""
+"""Runs a scenario on either testbed, then checks the invariants against what the stand-ins recorded."""
 
 from collections.abc import Callable
 from fnmatch import fnmatchcase
@@ -56,7 +56,7 @@
 
 
 class ScenarioRun:
-    """One run of a scenario: sets up the testbed, applies faults and actions in time, checks the record."""
+    """One run of a scenario: sets up the testbed, applies faults and actions when due, checks the record."""
 
     def __init__(self, scenario: Scenario, seed: int, processes: bool) -> None:
         self.scenario = scenario
--- a/thymedeck/lab/standins.py
+++ b/thymedeck/lab/standins.py
@@ -1,8 +1,8 @@
 """Stand-ins for a balancer's environment: the list service, servers and clients, on one event loop.
 
 They run on real sockets or in virtual time, speak the documented protocol, and record each line, dial and
-answer. A test injects faults by setting their attributes during a run. Times are whole tenths of a
-millisecond.
+answer. Scenarios and tests inject faults by setting their attributes during a run. Times are whole tenths of
+a millisecond.
 """
 
 import random
@@ -261,7 +261,7 @@
     def __init__(
         self, loop: EventLoop, record: Record, server_id: str, limit: int = 1 << 30, work: int = 50
     ) -> None:
-        """`limit`: sessions at a time; `work`: time that one set-up takes."""
+        """`limit`: established sessions at a time; `work`: time that one set-up takes."""
         self.loop = loop
         self.record = record
         self.server_id = server_id
@@ -370,7 +370,7 @@
         self, loop: EventLoop, record: Record, balancers: Callable[[], list[tuple[str, tuple[str, int]]]],
         seed: int, rate: float, life: int, classes: tuple[str, ...], deadline: int,
     ) -> None:  # fmt: skip
-        """`balancers` gives the names and addresses to which a front end would currently send clients.
+        """`balancers` gives the names and addresses to which a front load balancer would send clients now.
 
         `rate` is in arrivals per second; `life` is how long a session lasts.
         """
--- a/thymedeck/lab/testbed.py
+++ b/thymedeck/lab/testbed.py
@@ -45,7 +45,7 @@
 
 SECOND = 10_000
 MS = 10
-SHARED_KEY = "00112233445566778899aabbccddeeff"  # of the peers
+SHARED_KEY = "00112233445566778899aabbccddeeff"  # with which the peers sign their datagrams, in hex
 LOG_POLL_INTERVAL = 200  # how often the logs of processes are read while waiting, in real time
 START_TIMEOUT = 60 * SECOND
 
@@ -140,12 +140,18 @@
 
 
 class VirtualTestbed(BaseTestbed):
-    """Runs in one process in virtual time. The same seed and calls give a byte-identical record."""
+    """Runs in one process in virtual time. The same seed and calls give a byte-identical record.
+
+    All clients connect from the host of the list service, so here faults of `list` apply to them as well and
+    faults of `clients` have no effect.
+    """
 
     def __init__(self, seed: int, settings: dict, peers_options: dict | None = None, delay: int = 5) -> None:
         self.network = VirtualNetwork(delay_ns=delay * 100_000)
         self.rng = random.Random(seed)
-        self.stand_in_machine = Machine(self.network, "10.2.0.1")  # runs all stand-ins, on several hosts
+        self.stand_in_machine = Machine(
+            self.network, "10.2.0.1"
+        )  # runs all stand-ins; listens on several hosts
         loop = EventLoop(self.handle_fault, 1 << 24, self.stand_in_machine)
         loop.running = True
         self.network.loops.append(loop)
@@ -318,7 +324,7 @@
             self.other_end.forward()
 
     def on_connection_lost(self) -> None:
-        """Resets the other end; while the way to it is cut, the reset is delayed."""
+        """Resets the other end; while the direction to it is cut, the reset is delayed."""
         self.close()
         other_end = self.other_end
         if other_end is not None and other_end.is_open:
@@ -387,7 +393,7 @@
 class ProcessTestbed(BaseTestbed):
     """Runs real daemons on loopback; all traffic between two parties goes through a relay in this process.
 
-    While the way of a stream is cut, connections to the relay still succeed and what is written waits.
+    While a direction is cut, connections to the relay still succeed and what is written waits.
     `close` ends all processes and removes all files.
     """
 
@@ -406,7 +412,9 @@
         self.datagram_source_names: dict[tuple[str, int], str] = {}
         self.datagram_bytes: dict[str, int] = {}  # sent, by sender
         self.log_entries: dict[str, list[dict]] = {}
-        self.log_positions: dict[str, tuple[int, bytes]] = {}  # bytes read, and the incomplete last line
+        self.log_positions: dict[
+            str, tuple[int, bytes]
+        ] = {}  # offset of the unread part; incomplete last line
         self.errors: list[BaseException] = []
         # A loopback host of its own, so that the system never assigns one of these ports to a connection.
         self.host = f"127.{os.getpid() % 250 + 1}.{os.urandom(1)[0]}.{os.urandom(1)[0] % 254 + 1}"
@@ -483,7 +491,7 @@
         path.write_text("".join(f"{key}\n" for key in keys))
 
     def start(self, name: str, configured_name: str = "") -> None:
-        """`configured_name`: the name in its configuration, if it differs from `name`."""
+        """`configured_name`: the balancer's name in its own configuration, if it differs from `name`."""
         config = self.directory / f"{name}.json"
         content = self.balancer_config(name, self.rng.getrandbits(60)) | {"name": configured_name or name}
         config.write_bytes(orjson.dumps(content))
--- a/thymedeck/lab/virtual_network.py
+++ b/thymedeck/lab/virtual_network.py
@@ -76,7 +76,7 @@
 
     @staticmethod
     def next_timer_ns(loop: EventLoop) -> int:
-        """When the loop's next timer is due, rounded down to the loop's tenths of a millisecond."""
+        """When the loop's next timer is due, in ns; loops set timers in whole tenths of a millisecond."""
         while loop.timers and loop.timers[0][2].callback is None:
             heapq.heappop(loop.timers)
         return loop.timers[0][0] * 100_000 if loop.timers else 1 << 62
@@ -218,7 +218,7 @@
 
 
 class MemorySocket:
-    """One end of a stream connection, or a listening socket. Has the socket calls that the net code uses."""
+    """One end of a stream, or a listening socket: the socket calls that the net code uses, and their errors."""
 
     def __init__(self, network: VirtualNetwork, address: Address) -> None:
         self.network = network
@@ -257,8 +257,8 @@
     def schedule_at_remote(self, call: Callable[[], None], remote_host: str) -> None:
         """Schedules the effect of an operation at the remote end, in order, after the one-way delay.
 
-        It is dropped if a host is isolated. A cut by `faults` only delays it until the cut is over, as
-        retransmission does on a real stream.
+        It is dropped if either host is isolated when it is due. A cut by `faults` only delays it until the
+        cut is over, as retransmission does on a real stream.
         """
         network = self.network
         source, target = network.name_of(self.address[0]), network.name_of(remote_host)
--- a/tools/fleetcount.py
+++ b/tools/fleetcount.py
@@ -10,10 +10,10 @@
 - the texts of the mode events, with their numbers replaced by N;
 - the totals of some kinds of events, and the balancers with the most of them.
 
-`cold` counts dials, failed or successful, to a server that had started less than --cold seconds before;
-`draining` counts those to a server that this balancer's list showed as draining. --follow prints instead
-every line that any balancer logged about a session, chosen by the beginning of its id (from the client's
-first line) or of its key. The time at which a client left is when its balancer noticed it.
+`cold` counts dials that failed or succeeded less than --cold seconds after the start of their server;
+`draining` counts those to a server that this balancer's list showed as draining or deleted. --follow prints
+instead every line that any balancer logged about a session, chosen by the beginning of its id (from the
+client's first line) or of its key. The time at which a client left is when its balancer noticed it.
 """
 
 import argparse
--- a/tools/standing.py
+++ b/tools/standing.py
@@ -6,7 +6,7 @@
 python tools/standing.py --last 3           only the three code versions that were run last
 python tools/standing.py --days +brink+mass --nodes 1      the short days
 python tools/standing.py --site ridge-alarms --nodes 1     the days of another deployment
-python tools/standing.py --into FILE        write the table between the marks in FILE (--last 3 unless given)
+python tools/standing.py --into FILE        write the table between the marks in FILE (--last 3 unless --code)
 
 A code version is identified by the first seven digits of a digest of the files that the deploy file names as
 `policy` and `node`; `now` is the one in the working tree. The margin is the fraction of sessions served minus
@@ -46,15 +46,15 @@
     score: float | None = None
     fault: str | None = None
     rules: dict[str, int] = {}
-    files: int = 0
+    files: int = 0  # open descriptors
     fair: bool = True
 
 
 class RunRecord(msgspec.Struct):
     """A journal file: one run of the benchmark over one or more days."""
 
-    head: str = ""
-    site: str = ""
+    head: str = ""  # commit
+    site: str = ""  # deployment
     at: list[str] = []
     panel: str | None = None
     policy: list[FileDigest] = []
@@ -107,7 +107,8 @@
     """Returns the runs of the days with this suffix, oldest first.
 
     Left out are runs with fewer balancers than `min_nodes` and runs disturbed by other load on the machine
-    (not `fair`). A day's number within its panel (`calm+brink+mass-8`) is removed from its name.
+    (not `fair`) and, if `site` is given, runs of other deployments. A day's number within its panel
+    (`calm+brink+mass-8`) is removed from its name.
     """
     day_runs = []
     decode = msgspec.json.Decoder(RunRecord).decode
