--- a/thymedeck/lab/scale/endpoints.py
+++ b/thymedeck/lab/scale/endpoints.py
@@ -100,7 +100,7 @@
         self.established: dict[int, None] = {}
 
     def open(self, count: int) -> list[int]:
-        """Opens so many listening sockets; returns their ports."""
+        """Opens `count` listening sockets; returns the ports of all."""
         for _ in range(count):
             listening_socket = socket.create_server(("127.0.0.1", 0), backlog=1024)
             listening_socket.setblocking(False)
@@ -165,7 +165,7 @@
         self.partial_lines: dict[int, bytes] = {}
         self.answers: Counter[str] = Counter()
         self.answer_seconds: list[float] = []
-        self.moved = 0  # clients told to move
+        self.moved = 0  # clients that received MOVE
         self.cut_off = 0  # connections that ended without a MOVE
         self.lines = 0
         self.delivery_seconds: list[float] = []
@@ -241,14 +241,14 @@
         self.remove(fd)
 
     def leave(self, count: int) -> int:
-        """Closes so many sessions; returns how many remain."""
+        """Closes `count` sessions; returns how many remain."""
         for fd in list(self.established)[:count]:
             del self.established[fd]
             self.remove(fd)
         return len(self.established)
 
     def send_lines(self, seconds: float, interval: float = LINE_INTERVAL) -> tuple[int, int]:
-        """Sends a line on each session once per interval; returns how many were sent and came back."""
+        """Sends a line on each session once per interval; returns the numbers sent and echoed."""
         self.lines = sent = 0
         descriptors = list(self.established)
         rate, begin = len(descriptors) / interval, time.monotonic()
@@ -264,7 +264,7 @@
         return sent, self.lines
 
     def take_deliveries(self, expected: int) -> tuple[int, list[float]]:
-        """Waits for so many deliveries since the last call; returns their number and their sorted delays."""
+        """Waits for the deliveries since the last call; returns their number and their sorted delays."""
         self.run_until(lambda: len(self.delivery_seconds) >= expected, GRACE_SECONDS)
         delays, self.delivery_seconds = sorted(self.delivery_seconds), []
         return len(delays), delays
@@ -332,7 +332,7 @@
         return len(data)
 
     def change(self, count: int, state: str) -> int:
-        """Answers the watch with so many changed servers, 0: with the whole list; returns the bytes sent."""
+        """Answers the watch with `count` changed servers, 0: with the whole list; returns the bytes sent."""
         self.run_until(lambda: self.watch >= 0, GRACE_SECONDS)
         self.version += 1
         rows = self.rows[:count] if count else self.rows
--- a/thymedeck/lab/scale/server_list.py
+++ b/thymedeck/lab/scale/server_list.py
@@ -28,7 +28,7 @@
 
 
 def measure_list(entries: int, repeat: int, settle_seconds: float = SETTLE_SECONDS) -> dict:
-    """A list of so many entries, then changes of one entry each, then the whole list again."""
+    """A list of `entries` servers, then changes of one entry each, then the whole list again."""
     with Worker(run_list_service, entries) as service:
         port = service.call("open")
         with Daemon([], f"127.0.0.1:{port}") as daemon:
@@ -72,7 +72,7 @@
 
 
 def measure_start(entries: int, repeat: int) -> dict:
-    """A daemon that starts with so many entries in its file, until it accepts clients."""
+    """The start of a daemon with `entries` servers in its file, until it accepts clients."""
     with Daemon([server_entry(f"s{index}", 8000) for index in range(entries)]) as daemon:
         cpu = daemon.cpu_seconds()
         return {
@@ -100,7 +100,7 @@
 
 
 def measure_choice(servers: int, repeat: int) -> dict:
-    """Sessions that arrive, are set up and end, with so many servers and OPEN_SESSIONS open sessions."""
+    """The choice of a server for an arriving session, with `servers` servers and OPEN_SESSIONS sessions."""
     return run_in_subprocess(measure_choice_in_process, servers=servers, repeat=repeat)
 
 
--- a/thymedeck/lab/scale/sessions.py
+++ b/thymedeck/lab/scale/sessions.py
@@ -41,7 +41,7 @@
 
 
 def open_sessions(daemon: Daemon, clients: Worker, count: int) -> dict:
-    """Opens so many more sessions and retries refused ones; raises ValueError after MAX_ATTEMPTS."""
+    """Opens `count` more sessions and retries refused ones; raises ValueError after MAX_ATTEMPTS."""
     before = daemon.cpu_seconds()
     answers = Counter()
     for _ in range(MAX_ATTEMPTS):
@@ -105,7 +105,7 @@
 
 
 def measure_placing(listed: int, repeat: int) -> dict:
-    """Set-ups with so many servers listed: the cost of choosing a server on a real daemon."""
+    """Set-ups with `listed` servers in the list: the cost of choosing a server on a real daemon."""
     with daemon_with_load(listed) as (daemon, _, clients):
         idle_usage = daemon.core_usage(2.0)
         before, begin = daemon.cpu_seconds(), time.monotonic()
@@ -120,7 +120,7 @@
 
 
 def measure_churn(sessions: int, repeat: int) -> dict:
-    """Memory growth while CHURNED sessions open and close, ROUNDS times, beside so many that stay open."""
+    """Memory growth while CHURNED sessions open and close, ROUNDS times; `sessions` others stay open."""
     with daemon_with_load() as (daemon, _, clients):
         open_sessions(daemon, clients, sessions)
         memory = [daemon.resident_bytes()]
@@ -193,7 +193,7 @@
 
 
 def measure_deliveries(sessions: int, rate: int, size: int, repeat: int) -> dict:
-    """Deliveries at a constant rate over so many sessions: how many arrived, their delays, processor time."""
+    """Deliveries at a constant rate over open sessions: how many arrived, their delays, processor time."""
     with daemon_with_load() as (daemon, servers, clients):
         open_sessions(daemon, clients, sessions)
         silent_usage = daemon.core_usage(2.0)
--- a/thymedeck/lab/scenario.py
+++ b/thymedeck/lab/scenario.py
@@ -86,7 +86,7 @@
     # Time from the end within which every running balancer must know all other running ones and nobody else;
     # empty: not checked
     agree_within: str = ""
-    grace: str = "2 s"  # dials to a draining server are allowed for so long
+    grace: str = "2 s"  # how long after learning of a drain a balancer may still dial the server
 
 
 class Scenario(msgspec.Struct):
--- a/thymedeck/lab/testbed.py
+++ b/thymedeck/lab/testbed.py
@@ -147,11 +147,11 @@
     """
 
     def __init__(self, seed: int, settings: dict, peers_options: dict | None = None, delay: int = 5) -> None:
+        """`delay`: one way, between any two machines."""
         self.network = VirtualNetwork(delay_ns=delay * 100_000)
         self.rng = random.Random(seed)
-        self.stand_in_machine = Machine(
-            self.network, "10.2.0.1"
-        )  # runs all stand-ins; listens on several hosts
+        # Runs all stand-ins; listens under the hosts of the list service and of the servers.
+        self.stand_in_machine = Machine(self.network, "10.2.0.1")
         loop = EventLoop(self.handle_fault, 1 << 24, self.stand_in_machine)
         loop.running = True
         self.network.loops.append(loop)
--- a/thymedeck/lab/virtual_network.py
+++ b/thymedeck/lab/virtual_network.py
@@ -218,7 +218,7 @@
 
 
 class MemorySocket:
-    """One end of a stream, or a listening socket: the socket calls that the net code uses, and their errors."""
+    """One end of a stream, or a listening socket, with the calls that the net code uses and their errors."""
 
     def __init__(self, network: VirtualNetwork, address: Address) -> None:
         self.network = network
--- a/tools/fleetcount.py
+++ b/tools/fleetcount.py
@@ -37,8 +37,8 @@
     "cold",
     "draining",
 )
-COLD_SECONDS = 10.0  # a server counts as cold for so long after its start
-LATE_FORWARD_SECONDS = 0.1  # a client's opening line may still be forwarded for so long after the client left
+COLD_SECONDS = 10.0  # a server counts as cold for this time after its start
+LATE_FORWARD_SECONDS = 0.1  # an opening line may still be forwarded this long after its client left
 
 
 def read_logs(folder: Path) -> list[dict]:
