--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -24,7 +24,7 @@
 def test_load_and_delay_reports_are_distinguished() -> None:
     """A line of the file: time, connection, and whether its report is a load or a message delay."""
     schedule, loads_by_connection = DelaySchedule(), {}
-    for line in (SCENARIOS / "told" / "notes_on_the_beat.txt").read_text().splitlines():
+    for line in (SCENARIOS / "report_kinds" / "load_or_delay.txt").read_text().splitlines():
         if words := line.split("#")[0].split():
             now, loads = int(words[0]), loads_by_connection.setdefault(words[1], SessionLoads())
             kind = "delay" if schedule.is_delay_report(now, loads) else "load"
