--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
     set KEY=VALUE ...        before the first event: changes the deployment (listener keys apply to all)
     T list KIND S:STATE ...  the server list; after further colons: z1 zone, c2 cell, b50 start time,
                              w9 weight, k1 kind of machine
-    T EVENT ...              came N [budget=] [hint=], stands N on S, up N [TOOK], load N X,
+    T EVENT ...              arrived N [budget=] [hint=], restored N on S, up N [TOOK], load N X,
                              ended N OUTCOME [done], delay N MS, probed S X, left N
     expect ACTION ...        the only action of the last event (timers and logs are ignored)
     expect none              the last event had no action except timers and logs
@@ -128,13 +128,13 @@
             return interface.TimerFired(interface.Timer[words[0]], int(words[1]))
         session_id = int(words[0])
         options = dict(word.split("=") for word in words[1:] if "=" in word)
-        if kind == "came":
+        if kind == "arrived":
             subject, hint = options.get("subject"), options.get("hint")
             budget, flow = int(options.get("budget", 12000)), "mid_flow" in words
             return interface.SessionArrived(
                 session_id, 0, budget, None if hint is None else float(hint), subject, flow
             )
-        if kind == "stands":
+        if kind == "restored":
             self.server_of[session_id] = int(words[2])
             return interface.SessionRestored(session_id, 0, None, options.get("subject"), int(words[2]))
         if kind == "left":
@@ -160,7 +160,7 @@
 
     def expect(self, words: list[str]) -> None:
         shown = [self.describe(action) for action in self.last_actions if isinstance(action, CHECKED_ACTIONS)]
-        where = f"{self.path.name}: expected {' '.join(words)}, came {shown}"
+        where = f"{self.path.name}: expected {' '.join(words)}, got {shown}"
         among = self.all_actions if words[0] == "seen" else shown
         found = any(one[: len(words) - 1] == words[1:] for one in among)
         if words == ["none"]:
