--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -180,7 +180,7 @@
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(listener.getsockname())
-            self.crowd.append(sock)
+            self.extra_sockets.append(sock)
             if not select.select([], [sock], [], 0.05)[1]:
                 return
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -253,17 +253,18 @@
     known A B:DRAINING C!    the servers in the configuration; `!` marks one that refuses connections
     set KEY=VALUE ...        before `start`: changes the deployment (keys of any of its parts)
     descriptors N            before `start`: limits the file descriptors of the program
-    crowd N                  N clients connect and send nothing
-    crowd floods N           they send N bytes without a line end, as far as accepted, and read nothing
-    crowd gone               each of them has been answered or closed
-    reload NAME              replaces the configuration (new discovery, or `spoiled`), sends SIGHUP thrice
+    extra_clients N          N clients connect and send nothing
+    extra_clients floods N   they send N bytes without a line end, as far as accepted, and read nothing
+    extra_clients gone       each of them has been answered or closed
+    reload other|invalid     replaces the configuration (another list service, or no JSON) and sends
+                             SIGHUP three times
     start                    starts the program and waits until it answers PING
     client N opens FIGURES   connects and sends OPEN; `client N connects` only connects
     client N VERB TEXT       says a line, sends bytes, gets a line (a pattern), `end` or `reset`; ends,
                              closes, resets
     server N dialled [A]     accepts the next dial (at server A), for the session of client N
     server N VERB TEXT       the same verbs on the connection of that dial
-    server N fills COUNT     writes COUNT bytes, which the client reads unchanged
+    server N transfers COUNT writes COUNT bytes, which the client reads unchanged
     figures PATTERN          matches the last word of the OPEN line of the last dial
     list asked PATTERN       the list service receives a request for this path
     list says N KIND A:STATE answers with version N, `changes` or `whole`; `list answers STATUS BODY`,
@@ -286,9 +287,9 @@
         self.log = b""
         self.clock_started = 0.0
         self.descriptors = 0  # limit for the program; 0: that of this process
-        self.crowd: list[socket.socket] = []
+        self.extra_sockets: list[socket.socket] = []
         self.folder = tempfile.TemporaryDirectory()
-        self.configuration_path = Path(self.folder.name, "told.json")
+        self.configuration_path = Path(self.folder.name, "balancer.json")
 
     @staticmethod
     def listen() -> socket.socket:
@@ -312,7 +313,7 @@
                 self.program.stdout.close()
             self.folder.cleanup()
             ends = [
-                *self.crowd,
+                *self.extra_sockets,
                 *self.server_sockets.values(),
                 self.discovery,
                 *(p.sock for p in self.connections()),
@@ -352,20 +353,20 @@
     def on_descriptors(self, count: str) -> None:
         self.descriptors = int(count)
 
-    def on_crowd(self, what: str, count: str = "") -> None:
+    def on_extra_clients(self, what: str, count: str = "") -> None:
         if what == "floods":
-            for sock in self.crowd:
+            for sock in self.extra_sockets:
                 sock.setblocking(False)
                 with contextlib.suppress(BlockingIOError, ConnectionError):
                     sock.sendall(b"x" * int(count))
         elif what == "gone":
-            for sock in self.crowd:
+            for sock in self.extra_sockets:
                 assert select.select([sock], [], [], STEP_TIMEOUT_SECONDS)[0], "a connection is kept"
         else:
-            self.crowd = [self.connect() for _ in range(int(what))]
+            self.extra_sockets = [self.connect() for _ in range(int(what))]
 
     def on_reload(self, what: str) -> None:
-        if what == "spoiled":
+        if what == "invalid":
             text = "{"
         else:
             self.discovery = self.listen()
@@ -436,7 +437,7 @@
             line = self.dials[name].read_line()
             assert line.startswith(f"OPEN id{name} key{name} "), line
             self.figures = line.split()[3]
-        elif verb == "fills":
+        elif verb == "transfers":
             data = os.urandom(int(text)).replace(b"\n", b"-")
             writer = threading.Thread(target=self.dials[name].sock.sendall, args=(data,))
             writer.start()
