--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -3,32 +3,38 @@
 Nothing happens between two steps: the service's clock stands still unless a step advances it, and what a peer
 sends has arrived before the loop runs again. Steps are those of SocketScenario, and:
 
-    client N knocks          connects and stays in the backlog; `connects` and `opens` run until accepted
-    client N arrives         what that client did (data, end of stream, reset) can be read by the service
+    client N enters_backlog  connects and is not accepted yet; `connects` and `opens` run until accepted
+    client N readable        what that client did (data, end of stream, reset) can be read by the service
     server N accepts [A]     a dial is connected, which the service has not noticed yet
     server N reads N2        the line of that dial arrives, for the session of client N2
-    server N takes COUNT     only this many bytes of the dial's line are written until the next iteration
-    server N arrives, list arrives, list unseen (no request waits there)
-    held COUNT               the policy holds this many sessions
-    free COUNT               the service has at least this many free descriptors
-    undelayed                TCP_NODELAY is set on each connection of the service
+    server N write_limit COUNT
+                             only this many bytes of the dial's line are written until the next iteration
+    server N readable, list readable
+                             the same for what that server, or the list service, did
+    sessions COUNT           the policy has this many sessions
+    free_descriptors COUNT   the service has at least this many free descriptors
+    nodelay                  TCP_NODELAY is set on each connection of the service
     nothing dialled [A]      no dial waits at any server, or at this one
-    list comes MS            advances the clock until a list request arrives, by MS at most
-    turn [COUNT]             runs this many loop iterations without waiting
-    first client|server N    is dispatched first among the ready sockets; or `first door`, the listener
-    later MS                 advances the clock without an iteration, as if the process had been stalled
-    passes MS                advances the clock in small steps with an iteration at each
-    within MS STEP           in the middle of the next iteration, before it reads: this step, then this delay
-    full A, full list        connections to that server, or to discovery, are no longer established
-    server N stuffs          sends lines until no more are accepted; `client N drains` reads them
+    list request_within MS   advances the clock until a list request arrives, by MS at most
+    list no_request          no new connection waits at the list service
+    iterate [COUNT]          runs this many loop iterations without waiting
+    first client|server N    is dispatched first among the ready sockets; or `first listener`
+    stall MS                 advances the clock without an iteration, as if the process had been stalled
+    advance MS               advances the clock in small steps with an iteration at each
+    mid_iteration MS STEP    in the middle of the next iteration, before it reads: this step, then this delay
+    backlog_full A, backlog_full list
+                             connections to that server, or to discovery, are no longer established
+    server N sends_filler    sends lines until no more are accepted; `client N reads_filler` reads them
     list floods HEAD BYTES   sends HEAD, then this many bytes as fast as accepted, until it is cut off
-    list indents N KIND ...  like `list says`, with over 8 kB; `list nests N` with too many brackets
+    list says_indented N KIND A:STATE
+                             like `list says`, with over 8 kB of indentation
+    list says_nested N       answers with brackets nested too deeply to be decoded
     stop, reload same|other  SIGTERM and SIGHUP are received
     without list             before `start`: the configuration contains no list
     settings NAME            before `start`: those of tests/scenarios/settings
-    breaks ACTION            the next such action of the policy fails in the service
-    thinks MS                the decision on the next session takes this long
-    ended                    the service stops within ten seconds, and the process exits
+    fail_action ACTION       the next such action of the policy fails in the service
+    decision_takes MS        the decision on the next session takes this long
+    exited                   the service stops within ten seconds, and the process exits
     log no PATTERN           no such line since the last one that was matched
 """
 
@@ -51,7 +57,7 @@
 from .helpers import STEP_TIMEOUT_SECONDS, LineConnection, SocketScenario, fnmatch
 
 FILLER_LINE = b"x" * 98 + b"\r\n"
-STEP_MS = 10  # of `passes`
+STEP_MS = 10  # of `advance`
 EXIT_TIMEOUT_MS = 10_000
 
 
@@ -99,14 +105,14 @@
 class SteppedConnection(LineConnection):
     """A peer's connection that runs the service's loop while it waits for data."""
 
-    def __init__(self, sock: socket.socket, turn_until: Callable[[Callable[[], object], str], None]) -> None:
+    def __init__(self, sock: socket.socket, run_until: Callable[[Callable[[], object], str], None]) -> None:
         super().__init__(sock)
-        self.turn_until = turn_until
+        self.run_until = run_until
 
     def read_line(self) -> str:
         while b"\r\n" not in self.buffer:
-            self.turn_until(
-                lambda: select.select([self.sock], [], [], 0)[0], f"nothing came, held {self.buffer!r}"
+            self.run_until(
+                lambda: select.select([self.sock], [], [], 0)[0], f"nothing received after {self.buffer!r}"
             )
             try:
                 received = self.sock.recv(65536)
@@ -130,32 +136,32 @@
 
     # Loop and clock
 
-    def turn(self) -> None:
+    def run_iteration(self) -> None:
         if not self.service.loop.running:
             self.close_service_sockets()  # the process has ended
             return
         self.service.loop.after(0, lambda: None)  # so that it does not wait
         self.service.loop.run_once()
 
-    def turn_until(self, condition: Callable[[], object], message: str) -> None:
+    def run_until(self, condition: Callable[[], object], message: str) -> None:
         until = time.monotonic() + STEP_TIMEOUT_SECONDS
         while not condition():
             assert time.monotonic() < until, message
-            self.turn()
+            self.run_iteration()
 
-    def on_turn(self, count: str = "1") -> None:
+    def on_iterate(self, count: str = "1") -> None:
         for _ in range(int(count)):
-            self.turn()
+            self.run_iteration()
 
-    def on_later(self, span: str) -> None:
+    def on_stall(self, span: str) -> None:
         self.system.now_ns += int(float(span) * 1e6)
 
-    def on_passes(self, span: str) -> None:
+    def on_advance(self, span: str) -> None:
         for _ in range(0, int(span), STEP_MS):
-            self.on_later(str(STEP_MS))
-            self.turn()
+            self.on_stall(str(STEP_MS))
+            self.run_iteration()
 
-    def on_within(self, span: str, step: str) -> None:
+    def on_mid_iteration(self, span: str, step: str) -> None:
         """Stalls the process in the middle of an iteration."""
         original = Connection.read
 
@@ -163,17 +169,17 @@
             Connection.read = original
             kind, *words = step.split(maxsplit=2)
             self.run_step(kind, words)
-            self.on_later(span)
+            self.on_stall(span)
             original(connection)
 
         Connection.read = stalled_read
 
     def on_first(self, whose: str, name: str = "") -> None:
         peers = self.clients if whose == "client" else self.dials
-        first = self.service.acceptor if whose == "door" else self.service_connections[id(peers[name])]
+        first = self.service.acceptor if whose == "listener" else self.service_connections[id(peers[name])]
         self.service.loop.selector.first = first
 
-    def on_full(self, what: str) -> None:
+    def on_backlog_full(self, what: str) -> None:
         listener = self.discovery if what == "list" else self.server_sockets[what]
         listener.listen(0)
         while True:
@@ -220,7 +226,7 @@
         self.configuration_path.write_text(self.configuration_text())
         self.service.reload()
 
-    def on_breaks(self, name: str) -> None:
+    def on_fail_action(self, name: str) -> None:
         original = self.service.perform
 
         def broken(action: object) -> None:
@@ -231,7 +237,7 @@
 
         self.service.perform = broken
 
-    def on_thinks(self, span: str) -> None:
+    def on_decision_takes(self, span: str) -> None:
         handle = self.service.balancer.handle
 
         def slow(now: int, event: object) -> list:
@@ -243,13 +249,13 @@
 
         self.service.balancer.handle = slow
 
-    def on_ended(self) -> None:
+    def on_exited(self) -> None:
         for _ in range(0, EXIT_TIMEOUT_MS, STEP_MS):
             if not self.service.loop.running:
                 break
-            self.on_passes(str(STEP_MS))
+            self.on_advance(str(STEP_MS))
         assert not self.service.loop.running, "the service is still running"
-        self.turn()
+        self.run_iteration()
 
     def close_service_sockets(self) -> None:
         """Closes the service's sockets, as the system does when a process exits."""
@@ -291,16 +297,16 @@
 
     def on_client(self, name: str, rest: str) -> None:
         verb, _, text = rest.partition(" ")
-        if verb in ("opens", "connects", "knocks"):
-            peer = self.clients[name] = SteppedConnection(self.connect(), self.turn_until)
-            if verb != "knocks":
-                self.turn_until(lambda: self.service_connection_of(peer.sock), "the client was not accepted")
+        if verb in ("opens", "connects", "enters_backlog"):
+            peer = self.clients[name] = SteppedConnection(self.connect(), self.run_until)
+            if verb != "enters_backlog":
+                self.run_until(lambda: self.service_connection_of(peer.sock), "the client was not accepted")
                 self.service_connections[id(peer)] = self.service_connection_of(peer.sock)
             if verb == "opens":
                 peer.perform("says", f"OPEN id{name} key{name} {text}")
-        elif verb == "arrives":
+        elif verb == "readable":
             self.wait_readable(self.service_connections[id(self.clients[name])])
-        elif verb == "drains":
+        elif verb == "reads_filler":
             server = self.dials[name].sock
             server.setblocking(False)
             self.receive_filler(self.clients[name], server)
@@ -314,29 +320,29 @@
             listeners = [
                 listener for server, listener in self.server_sockets.items() if not text or server == text
             ]
-            self.turn_until(lambda: select.select(listeners, [], [], 0)[0], "no dial")
+            self.run_until(lambda: select.select(listeners, [], [], 0)[0], "no dial")
             sock = select.select(listeners, [], [], 0)[0][0].accept()[0]
-            peer = self.dials[name] = SteppedConnection(sock, self.turn_until)
+            peer = self.dials[name] = SteppedConnection(sock, self.run_until)
             self.service_connections[id(peer)] = self.service_connection_of(sock)
         if verb in ("dialled", "reads"):
             line = self.dials[name].read_line()
             client_name = text if verb == "reads" else name
             assert line.startswith(f"OPEN id{client_name} key{client_name} "), line
             self.figures = line.split()[3]
-        elif verb == "arrives":
+        elif verb == "readable":
             self.wait_readable(self.service_connections[id(self.dials[name])])
-        elif verb == "takes":
+        elif verb == "write_limit":
             connection = self.service_connections[id(self.dials[name])]
             throttled = PartialWriteBuffer()
             throttled.append(connection.outbound.read_all())
             throttled.remaining = int(text)
             connection.outbound = throttled
-        elif verb == "stuffs":
+        elif verb == "sends_filler":
             self.remaining = FILLER_LINE * 200_000
             self.dials[name].sock.setblocking(False)
             idle = 0
             while idle < 20:
-                self.turn()
+                self.run_iteration()
                 idle = 0 if self.send_filler(self.dials[name].sock) else idle + 1
             self.remaining = self.remaining[
                 : len(self.remaining) % len(FILLER_LINE)
@@ -345,16 +351,16 @@
         elif verb != "accepts":
             self.dials[name].perform(verb, text)
 
-    def on_held(self, count: str) -> None:
-        held = self.service.balancer.sessions
-        assert len(held) == int(count), held.keys()
+    def on_sessions(self, count: str) -> None:
+        sessions = self.service.balancer.sessions
+        assert len(sessions) == int(count), sessions.keys()
 
-    def on_undelayed(self) -> None:
+    def on_nodelay(self) -> None:
         connections = [key.data for key in self.service.loop.selector.get_map().values()]
         socks = [connection.sock for connection in connections if isinstance(connection, Connection)]
         assert len(socks) > 1 and all(s.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for s in socks)
 
-    def on_free(self, count: str) -> None:
+    def on_free_descriptors(self, count: str) -> None:
         assert self.service.loop.free_descriptors >= int(count), self.service.loop.free_descriptors
 
     def on_nothing(self, _: str, at: str = "") -> None:
@@ -375,7 +381,7 @@
         while idle < 20:
             with contextlib.suppress(ConnectionError):
                 self.send_filler(server)
-            self.turn()
+            self.run_iteration()
             idle += 1
             if select.select([client.sock], [], [], 0)[0]:
                 received = client.sock.recv(1 << 20)
@@ -385,27 +391,27 @@
     # The list
 
     def on_list(self, verb: str, text: str = "") -> None:
-        if verb == "arrives":
+        if verb == "readable":
             self.wait_readable(self.service.list_client.connection)
-        elif verb == "indents":
+        elif verb == "says_indented":
             version, _, *rows = text.split()
             entries = [self.entry(*row.split(":")) for row in rows]
             self.reply_to_list_call(
                 "200 OK", json.dumps({"version": int(version), "servers": entries}, indent=9_000)
             )
-        elif verb == "nests":
+        elif verb == "says_nested":
             self.reply_to_list_call("200 OK", '{"version": ' + text + ', "more": ' + "[" * 100_000)
         elif verb == "floods":
             head, _, count = text.rpartition(" ")
             self.remaining = head.encode().decode("unicode_escape").encode() + b"x" * int(count)
             self.flood(self.list_calls[-1].sock)
-        elif verb == "comes":
+        elif verb == "request_within":
             for _ in range(0, int(text), STEP_MS):
                 if self.is_list_request_waiting():
                     return
-                self.on_passes(str(STEP_MS))
+                self.on_advance(str(STEP_MS))
             assert self.is_list_request_waiting(), "no list request in time"
-        elif verb == "unseen":
+        elif verb == "no_request":
             assert not select.select([self.discovery], [], [], 0)[0], "a list request waits"
         else:
             super().on_list(verb, text)
@@ -417,7 +423,7 @@
                 self.send_filler(sock)
             except ConnectionError:
                 return
-            self.turn()
+            self.run_iteration()
 
     def is_list_request_waiting(self) -> bool:
         """Whether a list request waits, on a new connection or on the one kept open."""
@@ -426,8 +432,8 @@
         return any(sock is self.discovery or sock.recv(1, socket.MSG_PEEK) for sock in matches)
 
     def accept_list_call(self) -> None:
-        self.turn_until(lambda: select.select([self.discovery], [], [], 0)[0], "no list request")
-        self.list_calls.append(SteppedConnection(self.discovery.accept()[0], self.turn_until))
+        self.run_until(lambda: select.select([self.discovery], [], [], 0)[0], "no list request")
+        self.list_calls.append(SteppedConnection(self.discovery.accept()[0], self.run_until))
 
     # The log
 
@@ -438,8 +444,6 @@
             matches = [line for line in self.system.log_lines if fnmatch(line, pattern)]
             assert not matches, matches
             return
-        self.turn_until(
-            lambda: any(fnmatch(line, pattern) for line in self.system.log_lines), f"no {pattern}"
-        )
+        self.run_until(lambda: any(fnmatch(line, pattern) for line in self.system.log_lines), f"no {pattern}")
         at = next(at for at, line in enumerate(self.system.log_lines) if fnmatch(line, pattern))
         del self.system.log_lines[: at + 1]
