--- a/tests/list_calls.py
+++ b/tests/list_calls.py
@@ -28,7 +28,7 @@
     peak: int  # most calls in one second
 
 
-def fleet(
+def new_fleet(
     balancers: int, capacity: float, refusal_cost: float, ask_within: float, seed: int
 ) -> VirtualTestbed:
     deployment = deployment_settings(balancers, ["m1"], ["a"])
@@ -84,24 +84,24 @@
         testbed.services[name].list_client.switch_to(address)
 
 
-TROUBLES: tuple[Callable[[VirtualTestbed], None], ...] = (restarted, reset, down, silent, moved)
+FLEET_FAILURES: tuple[Callable[[VirtualTestbed], None], ...] = (restarted, reset, down, silent, moved)
 
 
-def play(testbed: VirtualTestbed, trouble: Callable[[VirtualTestbed], None]) -> FleetResult:
-    trouble(testbed)
+def run_with_failure(testbed: VirtualTestbed, failure: Callable[[VirtualTestbed], None]) -> FleetResult:
+    failure(testbed)
     t0 = testbed.now()
     testbed.list_service.change_server("s0", weight=2.0)
     wanted = testbed.list_service.version
     received_at: dict[str, int] = {}
 
-    def all_have() -> bool:
+    def all_have_change() -> bool:
         for name, service in testbed.services.items():
             if name not in received_at and service.list_client.version >= wanted:
                 received_at[name] = testbed.now() - t0
         return len(received_at) == len(testbed.services)
 
     end = t0 + MAX_DURATION
-    while not all_have() and testbed.now() < end:
+    while not all_have_change() and testbed.now() < end:
         testbed.run(SECOND // 50)
     entries = [one for one in testbed.record.entries if one["at"] >= t0]
     calls = [one["at"] for one in entries if one["what"] == "list call" and not one["wait"]]
@@ -110,19 +110,19 @@
     return FleetResult(sorted(received_at.values()), len(calls), refused, max(seconds.values(), default=0))
 
 
-def row(plays: list[FleetResult], balancers: int) -> str:
+def table_row(results: list[FleetResult], balancers: int) -> str:
     def mean(values: list[float]) -> str:
-        return f"{statistics.mean(values):6.1f}" if len(values) == len(plays) else "  none"
+        return f"{statistics.mean(values):6.1f}" if len(values) == len(results) else "  none"
 
-    def part(share: float) -> list[float]:
+    def times_at(share: float) -> list[float]:
         at = max(round(share * balancers) - 1, 0)
-        return [one.received_at[at] / SECOND for one in plays if len(one.received_at) > at]
+        return [one.received_at[at] / SECOND for one in results if len(one.received_at) > at]
 
-    in_time = [sum(at <= 6 * SECOND for at in one.received_at) for one in plays]
+    in_time = [sum(at <= 6 * SECOND for at in one.received_at) for one in results]
     return (
-        f"{mean(in_time)} | {mean(part(0.5))} | {mean(part(0.9))} | {mean(part(1.0))} |"
-        f" {mean([one.calls for one in plays])} | {mean([one.refused for one in plays])} |"
-        f" {mean([one.peak for one in plays])} |"
+        f"{mean(in_time)} | {mean(times_at(0.5))} | {mean(times_at(0.9))} | {mean(times_at(1.0))} |"
+        f" {mean([one.calls for one in results])} | {mean([one.refused for one in results])} |"
+        f" {mean([one.peak for one in results])} |"
     )
 
 
@@ -134,22 +134,22 @@
     parser.add_argument("--ask-within", type=float, default=10.0, help="seconds")
     parser.add_argument("--seeds", type=int, default=4)
     arguments = parser.parse_args()
-    print("| trouble | have it by 6 s | half | nine in ten | all | calls | refused | most a second |")
-    for trouble in TROUBLES:
-        plays = [
-            play(
-                fleet(
+    print("| failure | have it by 6 s | half | nine in ten | all | calls | refused | most a second |")
+    for failure in FLEET_FAILURES:
+        results = [
+            run_with_failure(
+                new_fleet(
                     arguments.balancers,
                     arguments.capacity,
                     arguments.refusal_cost,
                     arguments.ask_within,
                     seed,
                 ),
-                trouble,
+                failure,
             )
             for seed in range(arguments.seeds)
         ]
-        print(f"| {trouble.__name__:9} | {row(plays, arguments.balancers)}", flush=True)
+        print(f"| {failure.__name__:9} | {table_row(results, arguments.balancers)}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD)
-def test_one_bad_entry_spoils_neither_the_list_nor_its_server(service: Service, bad: str) -> None:
+def test_one_bad_entry_invalidates_neither_the_list_nor_its_server(service: Service, bad: str) -> None:
     """A bad entry neither rejects the whole list nor marks its server as gone."""
     before = '{"version":1,"full":true,"servers":[{"id":"known","addr":"127.0.0.1:7"}]}'
     service.apply_list(decode_list(before), interface.ListKind.WHOLE)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,5 +10,5 @@
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.glob("*.txt")), ids=lambda path: path.stem)
-def test_crossing(path: Path) -> None:
+def test_race(path: Path) -> None:
     SteppedScenario(path).run()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -193,7 +193,7 @@
     assert 70 < placed[FAST] < 130, placed
 
 
-def test_ties_prefer_newcomers_that_lack_sessions() -> None:
+def test_ties_prefer_new_servers_that_lack_sessions() -> None:
     """Where each balancer's load sum is zero on most servers, even draws would leave newcomers empty."""
     placed, generator = [0, 0], random.Random(5)
     for seed in range(100):
--- a/tests/test_list_within.py
+++ b/tests/test_list_within.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from .list_calls import TROUBLES, fleet, play, silent
+from .list_calls import FLEET_FAILURES, new_fleet, run_with_failure, silent
 from .list_paths import FAILURES, SECOND, SLOWEST_ANSWER, Play
 
 SITES = {
@@ -58,7 +58,7 @@
             )
 
 
-def test_balancers_whose_answers_never_end_ask_again_out_of_step() -> None:
+def test_balancers_whose_answers_never_end_retry_at_different_times() -> None:
     """The limit must not be met by all balancers calling at once."""
     site = SITE | {"ask_within_us": 10_000_000, "replicas": 200, "answer_duration": 0}
     plays = [Play([("served", 0), ("never ends", 0.7)], **site | {"seed": seed}).run() for seed in range(20)]
@@ -67,12 +67,12 @@
 
 
 @pytest.mark.parametrize("ask_within", [10, 120])
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda trouble: trouble.__name__)
-def test_a_fleet_spares_a_service_that_answers_a_few_calls_a_second(
-    trouble: Callable, ask_within: float
+@pytest.mark.parametrize("failure", FLEET_FAILURES, ids=lambda failure: failure.__name__)
+def test_a_fleet_does_not_overload_a_service_that_answers_a_few_calls_a_second(
+    failure: Callable, ask_within: float
 ) -> None:
     """80 balancers that all ask within 3.8 s; the service answers 20 a second and refusals cost it time."""
-    result = play(fleet(80, 20, 0.3, ask_within, seed=1), trouble)
-    wait = min(ask_within / 2, 60) if trouble is silent else 0
+    result = run_with_failure(new_fleet(80, 20, 0.3, ask_within, seed=1), failure)
+    wait = min(ask_within / 2, 60) if failure is silent else 0
     assert len(result.received_at) == 80 and result.received_at[-1] <= max(6, wait + 2) * SECOND, result
     assert result.refused == 0 and result.peak <= 36, result  # 21 in the mean
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -57,18 +57,18 @@
 
 def drain_and_return(testbed: ProcessTestbed) -> None:
     """Half of the servers drain and return repeatedly, with a reload each time."""
-    for turn in range(6):
-        state = "SERVING" if turn % 2 else "DRAINING"
-        testbed.loop.after(turn * SECOND // 2, lambda state=state: update_every(testbed, 2, state=state))
-        testbed.loop.after(turn * SECOND // 2, lambda: testbed.reload("b0"))
+    for step in range(6):
+        state = "SERVING" if step % 2 else "DRAINING"
+        testbed.loop.after(step * SECOND // 2, lambda state=state: update_every(testbed, 2, state=state))
+        testbed.loop.after(step * SECOND // 2, lambda: testbed.reload("b0"))
 
 
 # A loop iteration that works through thousands of servers would delay answers past their deadlines.
 @pytest.mark.parametrize(
-    "trouble", [restart_half, restart_all, drain_half, hang_half, stop_a_third, drain_and_return]
+    "disturbance", [restart_half, restart_all, drain_half, hang_half, stop_a_third, drain_and_return]
 )
-def test_requests_are_answered_while_thousands_of_servers_are_in_trouble(
-    trouble: Callable[[ProcessTestbed], None],
+def test_requests_are_answered_while_thousands_of_servers_change_or_fail(
+    disturbance: Callable[[ProcessTestbed], None],
 ) -> None:
     with ProcessTestbed(1, deployment_settings(FLEET, ["m1", "m2"], ["a", "b"])) as testbed:
         for index in range(SERVERS):
@@ -82,7 +82,7 @@
         testbed.wait_until_started("b0")
         clients = testbed.add_clients(1, RATE, 3 * SECOND, ("chat", "once"), DEADLINE)
         assert testbed.run_until(lambda: bool(testbed.record.of_kind("list answer")), 6 * SECOND)
-        trouble(testbed)
+        disturbance(testbed)
         testbed.run(4 * SECOND)
         clients.is_stopped = True
         testbed.run(4 * SECOND)
@@ -102,7 +102,7 @@
 MAX_GROWTH = 1.5  # of the lines run; iterating over all servers would run 16 times as many
 
 
-def lines_run(call: Callable[[], object]) -> int:
+def count_executed_lines(call: Callable[[], object]) -> int:
     """Counts the executed lines of Python: a measure of work that does not depend on the machine."""
     count = 0
 
@@ -150,7 +150,7 @@
         interface.SessionArrived(10_000 + index, 0, DEADLINE, None, None, False) for index in range(11)
     ]
     service.balancer.handle(now, arrivals[0])
-    return lines_run(lambda: [service.balancer.handle(now, one) for one in arrivals[1:]])
+    return count_executed_lines(lambda: [service.balancer.handle(now, one) for one in arrivals[1:]])
 
 
 def server_list(version: int, states: dict[int, str], full: bool = False) -> ServerList:
@@ -160,13 +160,13 @@
 
 def lines_of_list_change(service: Service) -> int:
     drained = server_list(2, dict.fromkeys(range(CHANGED_SERVERS), "DRAINING"))
-    return lines_run(lambda: service.on_list(drained))
+    return count_executed_lines(lambda: service.on_list(drained))
 
 
 # Decisions and periodic checks have to be made in time however long the list is.
 @pytest.mark.parametrize(
     "work",
-    [lines_of_placements, lines_of_list_change, lambda service: lines_run(service.check_servers)],
+    [lines_of_placements, lines_of_list_change, lambda service: count_executed_lines(service.check_servers)],
     ids=["placements", "change of the list", "check of the sessions"],
 )
 def test_work_does_not_grow_with_the_list(work: Callable[[Service], int]) -> None:
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -39,11 +39,11 @@
         head = b"HTTP/1.1 %s\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % (status, length)
         self.wfile.write(head + body)
 
-    def overbooked(self, _: bool) -> None:
+    def overloaded(self, _: bool) -> None:
         """Answers one request at a time and refuses those that have waited too long."""
-        if self.server.turn.acquire(timeout=MAX_WAIT_SECONDS):
+        if self.server.worker_lock.acquire(timeout=MAX_WAIT_SECONDS):
             self.server.done.wait(WORK_SECONDS)
-            self.server.turn.release()
+            self.server.worker_lock.release()
             self.stale(False)
         else:
             self.answer(b"503 Service Unavailable", b"", 0)
@@ -70,7 +70,7 @@
         super().__init__(("127.0.0.1", 0), ListRequestHandler, bind_and_activate=False)
         self.behaviour = behaviour
         self.request_count = 0
-        self.turn = threading.Lock()
+        self.worker_lock = threading.Lock()
         self.done = threading.Event()
         self.server_bind()
         if behaviour != "down":
@@ -115,16 +115,16 @@
             started_at = time.monotonic()
             self.processes.append(subprocess.Popen(command, stdout=subprocess.PIPE))
             selector.register(self.processes[-1].stdout, selectors.EVENT_READ, (started_at, bytearray()))
-        took: list[float] = []
+        ready_times: list[float] = []
         deadline = time.monotonic() + READY_TIMEOUT_SECONDS + 1
-        while len(took) < FLEET_SIZE and (remaining := deadline - time.monotonic()) > 0:
+        while len(ready_times) < FLEET_SIZE and (remaining := deadline - time.monotonic()) > 0:
             for key, _ in selector.select(remaining):
                 started_at, received = key.data
                 received += os.read(key.fd, 65536)
                 if isinstance(key.fileobj, socket.socket):
                     selector.unregister(key.fileobj)
                     assert received == b"PONG\r\n"
-                    took.append(time.monotonic() - started_at)
+                    ready_times.append(time.monotonic() - started_at)
                     key.fileobj.close()
                     continue
                 assert received, "the process has ended"
@@ -141,7 +141,7 @@
             if isinstance(key.fileobj, socket.socket):
                 key.fileobj.close()
         selector.close()
-        return sorted(took)
+        return sorted(ready_times)
 
 
 @pytest.fixture(scope="module")
@@ -154,21 +154,23 @@
         fleet.kill()
 
 
-@pytest.mark.parametrize("behaviour", ["down", "overbooked", "slow", "stale"])
+@pytest.mark.parametrize("behaviour", ["down", "overloaded", "slow", "stale"])
 def test_nine_in_ten_restarted_are_ready_in_time(fleet: Fleet, behaviour: str) -> None:
     list_server = StubListServer(behaviour)
     try:
-        took = fleet.restart("{}:{}".format(*list_server.server_address))
+        ready_times = fleet.restart("{}:{}".format(*list_server.server_address))
     finally:
         list_server.end()
     quantiles = {
-        share: f"{took[min(int(share * FLEET_SIZE), len(took)) - 1]:.2f}" for share in (0.5, 0.9, 1) if took
+        share: f"{ready_times[min(int(share * FLEET_SIZE), len(ready_times)) - 1]:.2f}"
+        for share in (0.5, 0.9, 1)
+        if ready_times
     }
     print(
-        f"\n{behaviour}: {len(took)} of {FLEET_SIZE} ready, seconds {quantiles}, "
+        f"\n{behaviour}: {len(ready_times)} of {FLEET_SIZE} ready, seconds {quantiles}, "
         f"{list_server.request_count} requests"
     )
-    assert sum(seconds <= READY_TIMEOUT_SECONDS for seconds in took) >= 0.9 * FLEET_SIZE, took
+    assert sum(seconds <= READY_TIMEOUT_SECONDS for seconds in ready_times) >= 0.9 * FLEET_SIZE, ready_times
     assert (list_server.request_count > 0) is (behaviour != "down"), (
         "the list service did not behave as configured"
     )
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -188,7 +188,7 @@
     )
 
 
-def test_a_refused_once_only_session_may_go_to_another_server() -> None:
+def test_a_refused_at_most_once_session_may_go_to_another_server() -> None:
     entries = [
         REQUEST | {"at": 0}, entry_of(1, "server line"), entry_of(2, "server answer", answer="BUSY"),
         entry_of(3, "server end"), entry_of(4, "server line", server="s1"),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -118,7 +118,7 @@
     assert table.points("n", "y") == [(1, 2), (2, 4)]
 
 
-def test_a_line_is_found_with_its_spread() -> None:
+def test_a_line_fit_gives_slope_and_spread() -> None:
     fit = fit_line([(10, 25), (10, 15), (20, 40), (40, 80)])
     assert fit.slope == pytest.approx(2) and fit.intercept == pytest.approx(0, abs=1e-9)
     assert fit.spread == pytest.approx(0.25) and fit.at(420) == pytest.approx(840) and fit.r2 < 1
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -59,7 +59,7 @@
         assert service.received.pop() == received
 
 
-def test_signals_work_without_sockets_to_oneself(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_signals_work_without_a_socket_pair(monkeypatch: pytest.MonkeyPatch) -> None:
     """Some platforms refuse Unix sockets, others accept UDP to oneself and never deliver it."""
     monkeypatch.setattr(socket, "socket", lambda *_, **__: pytest.fail("a socket was opened"))
     monkeypatch.setattr(socket, "socketpair", lambda *_: pytest.fail("a Unix socket was opened"))
